--- a/benchmarks/files.py
+++ b/benchmarks/files.py
@@ -19,12 +19,12 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from cranecleat.decoding import Names
-from cranecleat.files.disk import BACK, Disk, Hold, do
+from cranecleat.decoding import IndexMap
+from cranecleat.files.disk import REPORTS, Disk, FolderLock, apply_step
 from cranecleat.files.follow import Follower
-from cranecleat.files.format import Orders, Report, Stamp, read_report, write_body, write_orders
+from cranecleat.files.format import Header, Orders, Report, read_report, write_body, write_orders
 from cranecleat.files.ledger import Ledger
-from cranecleat.files.recover import look
+from cranecleat.files.recover import scan_folder
 from cranecleat.memory.streams import Streams
 from cranecleat.rehearsal.day import Day, surge
 
@@ -38,11 +38,11 @@
     def __init__(self, folder, proxies, sync="none"):
         self.disk = Disk(folder, sync)
         self.disk.prepare()
-        self.hold = Hold(self.disk, "bench", 1)
-        found, self.names = look(self.disk, sweep=True), Names()
+        self.lock = FolderLock(self.disk, "bench", 1)
+        found, self.names = scan_folder(self.disk, sweep=True), IndexMap()
         for b in range(LINES):
             self.names(f"s-{b:08x}")
-        self.ledger = Ledger(self.names, ROUTES, self.hold.fence, 1, found.generation)
+        self.ledger = Ledger(self.names, ROUTES, self.lock.fence, 1, found.generation)
         self.ledger.bodies = found.bodies
         for p in range(proxies):
             self.ledger.join(p)
@@ -55,32 +55,32 @@
         come round after 9,000, as a figure in a file has six digits."""
         for route in range(2):
             for b in range(LINES):
-                self.ledger.line(route, b, float(n % 9000 * 100 + b + 1))
+                self.ledger.set_weight(route, b, float(n % 9000 * 100 + b + 1))
         for b in range(LINES):
             self.ledger.withdraw(b, b == n % 9000 % LINES)
 
     def publish(self):
         for step in self.ledger.steps():
-            do(self.disk, step)
-            self.ledger.written(step)
-        for step in self.ledger.done(0):
-            do(self.disk, step)
+            apply_step(self.disk, step)
+            self.ledger.step_done(step)
+        for step in self.ledger.publication_done(0):
+            apply_step(self.disk, step)
 
 
 def read_on(folder, proxy, kept, stop, answers):
     """One reader in a process of its own: looks as fast as it can and checks every state that it sees."""
     follower, acted, torn, gaps, seen, looks = Follower(folder, proxy, kept), [], 0, 0, set(), 0
     while not stop.is_set():
-        acted += [order.call for order in follower.look()]
+        acted += [order.call for order in follower.poll()]
         looks += 1
-        lines = follower.view.force.lines
+        lines = follower.view.in_force.weights
         if not lines:
             gaps += bool(seen)
             continue
         first = lines["read"][f"s-{0:08x}"]
         n = round((first - 1) / 100)
         whole = all(lines[route] == {f"s-{b:08x}": first + b for b in range(LINES)} for route in ROUTES)
-        torn += not (whole and follower.view.force.out == {f"s-{n % LINES:08x}"})
+        torn += not (whole and follower.view.in_force.withdrawn == {f"s-{n % LINES:08x}"})
         gaps += not follower.view.pick_from("new-address")
         seen.add(n)
     answers.put((proxy, acted, torn, gaps, len(seen), looks))
@@ -101,17 +101,19 @@
         writer.state(n)
         if n % 50 == 0:
             call = f"new-address {n}"
-            if writer.ledger.again(n // 50 % readers, call, "refused") is not None:
+            if writer.ledger.order_retry(n // 50 % readers, call, "refused") is not None:
                 ordered.append(call)
         for p in range(readers):  # what readers would report: everything, some publications late
             if n % 20 == 0:
-                seat = writer.ledger.seats[p]
-                writer.ledger.applied(p, max(writer.ledger.published.stamp.generation - 40, 0), seat.generation, 0, 0)
+                state = writer.ledger.proxies[p]
+                writer.ledger.acknowledge(
+                    p, max(writer.ledger.published.header.generation - 40, 0), state.generation, 0, 0
+                )
         writer.publish()
         if n % 400 == 0:  # taken on by now; makes room for more
             time.sleep(0.05)
-            for seat in writer.ledger.seats.values():
-                seat.again, seat.dirty = [], True
+            for state in writer.ledger.proxies.values():
+                state.retries, state.dirty = [], True
     took = time.perf_counter() - begun
     time.sleep(0.2)
     stop.set()
@@ -120,8 +122,8 @@
         process.join()
     acted = [call for _, calls, *_ in told for call in calls]
     return {
-        "swaps": writer.ledger.figures["swaps"],
-        "swaps_a_second": round(writer.ledger.figures["swaps"] / took),
+        "swaps": writer.ledger.counters["swaps"],
+        "swaps_a_second": round(writer.ledger.counters["swaps"] / took),
         "torn": sum(t for _, _, t, *_ in told),
         "gaps": sum(g for _, _, _, g, *_ in told),
         "states_seen": [seen for *_, seen, _ in told],
@@ -143,9 +145,9 @@
         for p in range(proxies):
             if due[p] <= now:
                 due[p] += READER_POLL * max(1, int((now - due[p]) / READER_POLL) + 1)
-                before = followers[p].view.force.applied
-                followers[p].look()
-                if followers[p].view.force.applied != before:
+                before = followers[p].view.in_force.applied
+                followers[p].poll()
+                if followers[p].view.in_force.applied != before:
                     reports[p].beat += 1
                     followers[p].report(reports[p])
         time.sleep(0.001)
@@ -162,28 +164,28 @@
         left = set(range(proxies))
         while left:
             time.sleep(max(FRONT_POLL - (time.perf_counter() - since) % FRONT_POLL, 0.001))
-            for called, version in writer.disk.names(BACK):
+            for called, version in writer.disk.list_files(REPORTS):
                 if versions.get(called) != version:
                     versions[called] = version
-                    report = read_report(writer.disk.read(BACK, called))
+                    report = read_report(writer.disk.read(REPORTS, called))
                     p = int(report.who[1:])
-                    if number in writer.ledger.applied(p, *report.applied, 0, 0) and since:
+                    if number in writer.ledger.acknowledge(p, *report.applied, 0, 0) and since:
                         took.append(time.perf_counter() - since)
-                    if not any(p in who for _, who in writer.ledger.owed):
+                    if not any(p in who for _, who in writer.ledger.unacknowledged):
                         left.discard(p)
 
     for n in range(rounds + 1):
         number += 1
         writer.ledger.withdraw(n % LINES, n % 2 == 0)
         since = time.perf_counter()
-        writer.ledger.mark(number)
+        writer.ledger.request_ack(number)
         writer.publish()
         wait(since)
         if n == 0:
             took.clear()  # the first look of all
     stop.set()
     other.join()
-    writer.hold.release()
+    writer.lock.release()
     return took
 
 
@@ -211,7 +213,7 @@
     listening = socket.create_server(("127.0.0.1", 0), backlog=1100)
     other = multiprocessing.Process(target=serve_streams, args=(listening.getsockname(), proxies))
     other.start()
-    names = Names()
+    names = IndexMap()
     for b in range(LINES):
         names(f"s-{b:08x}")
     streams, ready, took = Streams(names, ROUTES, None, None, None), selectors.DefaultSelector(), []
@@ -222,13 +224,13 @@
         streams.join(number, one, 20.0, True)
     for route in range(2):
         for b in range(LINES):
-            streams.line(route, b, 1.0)
+            streams.set_weight(route, b, 1.0)
         for p in range(proxies):
             streams.bind(p, route, (route,))
     for n in range(rounds + 1):
         streams.withdraw(n % LINES, n % 2 == 0)
         since = time.perf_counter()
-        streams.mark(n + 1)
+        streams.request_ack(n + 1)
         left = 0
         for one, message in streams.messages():
             one.sendall(message)
@@ -250,14 +252,14 @@
     """One line of a shared table changes: what is written, beside a copy of the whole for each proxy."""
     writer = Writer(folder, proxies)
     writer.publish()
-    before, count = writer.ledger.figures["bytes"], 20
+    before, count = writer.ledger.counters["bytes"], 20
     for n in range(count):
-        writer.ledger.line(0, n % LINES, 0.5 + n)
+        writer.ledger.set_weight(0, n % LINES, 0.5 + n)
         writer.publish()
-    written = (writer.ledger.figures["bytes"] - before) / count
+    written = (writer.ledger.counters["bytes"] - before) / count
     body = len(write_body_of(writer))
-    orders = len(write_orders(Orders(Stamp(1, 1, 1, 1), 1, True, 1, dict.fromkeys(ROUTES, 0))))
-    writer.hold.release()
+    orders = len(write_orders(Orders(Header(1, 1, 1, 1), 1, True, 1, dict.fromkeys(ROUTES, 0))))
+    writer.lock.release()
     return {
         "written": round(written),
         "naive": proxies * (2 * body + orders),
@@ -274,13 +276,13 @@
 def restart(folder, proxies=1000):
     writer = Writer(folder, proxies)
     writer.publish()
-    writer.hold.release()
+    writer.lock.release()
     begun = time.perf_counter()
     after = Writer(folder, proxies)
     found = time.perf_counter() - begun
     after.publish()
     whole = time.perf_counter() - begun
-    after.hold.release()
+    after.lock.release()
     return {"taken_up_s": round(found, 3), "serving_s": round(whole, 3)}
 
 
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -16,9 +16,9 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from cranecleat.gossip import seal, wire
-from cranecleat.gossip.agent import RATE, Agent
-from cranecleat.gossip.bridge import key_of
-from cranecleat.gossip.roster import Member, Roster, number
+from cranecleat.gossip.agent import DEFAULT_BYTES_PER_SECOND, Agent
+from cranecleat.gossip.bridge import backend_key
+from cranecleat.gossip.roster import Member, Roster, member_number
 from cranecleat.gossip.seal import Signer
 from cranecleat.rehearsal.day import EPOCH, GOSSIP, Day, swallowing
 from cranecleat.rehearsal.network import Network, Token, TokenChecker
@@ -55,12 +55,12 @@
         return sum(
             any(entry[0] == key for entry in held.statement.entries)
             for one in self.agents.values()
-            if (held := one.claims.held.get(number(origin)))
+            if (held := one.claims.latest.get(member_number(origin)))
         )
 
     def measure(self):
         """Seconds until all have heard a claim; then bytes a second and peer while all claim all the time."""
-        start, key = 15 * SECOND + self.world.seed % 7 * SECOND // 10, key_of("s-1", 0)
+        start, key = 15 * SECOND + self.world.seed % 7 * SECOND // 10, backend_key("s-1", 0)
         self.world.run(start)
         self.agents["n0"].observe(start, {key: 6.0})
         while self.heard("n0", key) < len(self.agents) and self.world.now < start + 30 * SECOND:
@@ -71,7 +71,8 @@
         for _ in range(10):
             for one in self.agents.values():
                 one.observe(
-                    self.world.now, {key_of(f"s-{chance.randrange(40)}", 0): chance.uniform(2, 9) for _ in range(10)}
+                    self.world.now,
+                    {backend_key(f"s-{chance.randrange(40)}", 0): chance.uniform(2, 9) for _ in range(10)},
                 )
             self.world.run(self.world.now + SECOND)
         span = (self.world.now - busy) / SECOND
@@ -137,11 +138,11 @@
     for n in range(300):
         now = n * SECOND
         if n % 3 == 0:  # in another's name
-            head = wire.Head(forger.roster.tag, number("n1"), 0, EPOCH, 10_000 + n, wire.Kind.RUMOUR, 0, 0, 0)
+            head = wire.Header(forger.roster.tag, member_number("n1"), 0, EPOCH, 10_000 + n, wire.Kind.RUMOUR, 0, 0, 0)
             data = wire.pack(head, (), None)
             data += forger.signer.sign(seal.DATAGRAM, forger.roster.digest, data)
         else:
-            good = honest.send(now, honest.rumours, number("n0"), wire.Kind.RUMOUR)[0][1]
+            good = honest.send(now, honest.rumour_bucket, member_number("n0"), wire.Kind.RUMOUR)[0][1]
             kept.append(good)
             victim.received(now, EPOCH, good, ("n1", 1))
             data = chance.choice(kept) if n % 3 == 1 else good[:30] + bytes([good[30] ^ 1]) + good[31:]
@@ -157,8 +158,11 @@
     signers = {name: Signer(name.encode().ljust(32, b".")) for name in names}
     members = [Member(name, (name, 1), (signers[name].public,)) for name in names]
     honest = Agent(Roster("g", "n1", members), signers["n1"], "n1", EPOCH, 0)
-    honest.observe(SECOND, {key_of(f"s-{i}", 0): 5.0 for i in range(8)})
-    good = [honest.send(n * SECOND, honest.rumours, number("n0"), wire.Kind.RUMOUR)[0][1] for n in range(rounds)]
+    honest.observe(SECOND, {backend_key(f"s-{i}", 0): 5.0 for i in range(8)})
+    good = [
+        honest.send(n * SECOND, honest.rumour_bucket, member_number("n0"), wire.Kind.RUMOUR)[0][1]
+        for n in range(rounds)
+    ]
     figures = {}
     for what, make, address in (
         ("verified_us", lambda d: d, "n1"),
@@ -181,8 +185,10 @@
     agent = Agent(Roster("g", "n0", members), signers["n0"], "n0", EPOCH, 0)
     for name in names[1:]:
         one = Agent(Roster("g", name, members), signers[name], name, EPOCH, 0)
-        one.observe(SECOND, {key_of(f"s-{i}", 0): 5.0 for i in range(8)})
-        agent.received(SECOND, EPOCH, one.send(SECOND, one.rumours, number("n0"), wire.Kind.RUMOUR)[0][1], (name, 1))
+        one.observe(SECOND, {backend_key(f"s-{i}", 0): 5.0 for i in range(8)})
+        agent.received(
+            SECOND, EPOCH, one.send(SECOND, one.rumour_bucket, member_number("n0"), wire.Kind.RUMOUR)[0][1], (name, 1)
+        )
         del one
     gc.collect()
     figures["agent_of_20_bytes"] = tracemalloc.get_traced_memory()[0] - before
@@ -208,7 +214,10 @@
                 "heard_by_all_s": round(mean(t for t, _ in found), 2),
                 "bytes_s_peer_most": round(max(b for _, b in found)),
             }
-            aim(max(b for _, b in found) <= RATE * 1.05, f"{peers} peers: more than {RATE} bytes a second")
+            aim(
+                max(b for _, b in found) <= DEFAULT_BYTES_PER_SECOND * 1.05,
+                f"{peers} peers: more than {DEFAULT_BYTES_PER_SECOND} bytes a second",
+            )
         per = [figures[f"spread_{n}"]["heard_by_all_s"] / math.log2(n + 1) for n in (5, 20, 100)]
         figures["heard_s_by_log2"] = [round(p, 3) for p in per]
         for peers, more in ((5, {}), (20, {}), *(() if quick else ((5, {"lines": 24}), (100, {})))):
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -67,25 +67,25 @@
             routes=routes,
             zones=ZONES,
             coordinators=1,
-            must_ask=False,
-            ask_within=10 * SECOND,
+            must_watch=False,
+            watch_timeout=10 * SECOND,
             admission="fraction",
             cycle=SECOND,
             backlog=100 * proxies,
-            pace=100.0 * proxies,
-            head=10.0,
-            messages_most=0,
-            messages_over=10 * SECOND,
+            channel_lines_per_second=100.0 * proxies,
+            message_overhead=10.0,
+            message_limit=0,
+            message_limit_window=10 * SECOND,
             grace=3 * SECOND,
-            cold=10 * SECOND,
-            cold_from=0.2,
+            warm_up_time=10 * SECOND,
+            cold_start_capacity=0.2,
         )
-        self.names, self.chance, self.now = decoding.Names(), random.Random(seed), 100 * SECOND
+        self.names, self.chance, self.now = decoding.IndexMap(), random.Random(seed), 100 * SECOND
         self.backends = [self.names(f"s-{b:08x}") for b in range(backends)]
         self.cores = {b: self.chance.choice((2, 4)) for b in self.backends}
         self.proxies = list(range(proxies))
         self.streams = streams.Streams(self.names, ("a", "b", "c"), None, lambda: None, lambda text: None)
-        self.streams.wake = lambda *_: None
+        self.streams.set_timer = lambda *_: None
         self.planner = policy.Planner(boot, 7)
         self.times, self.acks, self.messages = [], [], 0
 
@@ -94,23 +94,23 @@
         calls, self.acks = [*self.acks, *calls], []
         begun = time.perf_counter()
         self.planner.round(self.now, calls, self.streams)
-        mark = self.streams.stamp
+        mark = self.streams.ack_number
         sent = self.streams.messages()
         self.times.append(time.perf_counter() - begun)
         self.messages += len(sent)
         if mark is not None:
-            self.acks = [("applied", connection, mark) for connection, _ in sent]
+            self.acks = [("acknowledged", connection, mark) for connection, _ in sent]
 
     def listed(self, *entries, how="changes"):
-        return ("listed", how, [(b, state, b % ZONES, 0, float(self.cores[b]), 0) for b, state in entries])
+        return ("backends_listed", how, [(b, state, b % ZONES, 0, float(self.cores[b]), 0) for b, state in entries])
 
     def join(self, p):
         self.streams.join(p, p, 10.0, True)
-        return ("joined", p, p % ZONES, 10.0, True, 0)
+        return ("proxy_joined", p, p % ZONES, 10.0, True, 0)
 
     def leave(self, p):
         self.streams.leave(p, p)
-        return ("left", p)
+        return ("proxy_left", p)
 
     def start(self):
         self.play(self.listed(*((b, "running") for b in self.backends), how="whole"))
@@ -119,11 +119,11 @@
     def reports(self):
         calls = 10.0 * len(self.proxies) / len(self.backends)
         out = [
-            ("met", b, zone, max(round(calls / ZONES * self.cores[b] / 3), 1), 0, 100_000, SECOND, None)
+            ("attempts_reported", b, zone, max(round(calls / ZONES * self.cores[b] / 3), 1), 0, 100_000, SECOND, None)
             for b in self.backends
             for zone in range(ZONES)
         ]
-        out += [("came", p, route, 3 + route, SECOND) for p in self.proxies for route in range(3)]
+        out += [("demand_reported", p, route, 3 + route, SECOND) for p in self.proxies for route in range(3)]
         self.chance.shuffle(out)
         return out
 
@@ -138,7 +138,7 @@
         """CPU a cycle and the longest round, once everybody is bound."""
         for _ in range(12):
             self.cycle()
-            if all(len(p.bound) == 3 for p in self.planner.proxies.values()):
+            if all(len(p.bound_tables) == 3 for p in self.planner.proxies.values()):
                 break
         self.times.clear()
         for _ in range(cycles):
@@ -169,11 +169,11 @@
 
 def lines_a_second(lines, decoding, repeats):
     """Report lines split, parsed, checked and turned into calls, a second, on one core."""
-    names = decoding.Names()
+    names = decoding.IndexMap()
     for b in range(120):
         names(f"s-{b:08x}")
-    reader = lines.Reader({"a": 0}, {"r0": 0}, 640, names, SECOND, 5 * SECOND)
-    reader.typical = 6400.0
+    reader = lines.MessageDecoder({"a": 0}, {"r0": 0}, 640, names, SECOND, 5 * SECOND)
+    reader.typical_rate = 6400.0
     data = b"".join(
         f"upstream_stats locality=a endpoint=s-{b:08x} total=212 errors=3 rtt=41.7 interval=1000.0 "
         "metrics=utilization:0.61,throughput:21.0\r\n".encode()
@@ -184,10 +184,10 @@
     )
     count, begun = 0, time.perf_counter()
     for _ in range(repeats):
-        found, _ = lines.split(data)
+        found, _ = lines.split_lines(data)
         for line in found:
-            kind, values = lines.parse(line)
-            getattr(reader, kind)(lines.Words(kind, values))
+            kind, values = lines.parse_line(line)
+            getattr(reader, kind)(lines.Message(kind, values))
             count += 1
     return round(count / (time.perf_counter() - begun))
 
--- a/benchmarks/sections.py
+++ b/benchmarks/sections.py
@@ -31,20 +31,20 @@
             routes=routes,
             zones=3,
             coordinators=coordinators,
-            must_ask=False,
-            ask_within=10 * SECOND,
+            must_watch=False,
+            watch_timeout=10 * SECOND,
             admission="fraction",
             cycle=SECOND,
             backlog=BACKLOG,
-            pace=PACE,
-            head=10.0,
-            messages_most=0,
-            messages_over=10 * SECOND,
+            channel_lines_per_second=PACE,
+            message_overhead=10.0,
+            message_limit=0,
+            message_limit_window=10 * SECOND,
             grace=GRACE,
-            cold=COLD,
-            cold_from=0.21,
+            warm_up_time=COLD,
+            cold_start_capacity=0.21,
             proxies=proxies,
-            intake=INTAKE,
+            report_lines_per_second=INTAKE,
         )
         self.planner = type(self.planner)(boot, 7)
         self.sending, self.credit, self.peak = deque(), 0.0, 0.0
@@ -55,18 +55,22 @@
         while self.sending and self.sending[0][1] <= self.credit:
             p, lines, mark = self.sending.popleft()
             self.credit -= lines
-            sent.append(("applied", p, mark))
+            sent.append(("acknowledged", p, mark))
         super().play(*sent, *calls, after=after)
         self.acks, channel = [], self.planner.channel
-        if channel.owed and channel.owed[-1][0] == self.planner.mark and self.messages > getattr(self, "seen", 0):
-            self.sending += [(p, lines, self.planner.mark) for p, lines in channel.owed[-1][1].items()]
+        if (
+            channel.unacknowledged
+            and channel.unacknowledged[-1][0] == self.planner.ack_number
+            and self.messages > getattr(self, "seen", 0)
+        ):
+            self.sending += [(p, lines, self.planner.ack_number) for p, lines in channel.unacknowledged[-1][1].items()]
         self.seen = self.messages
         self.peak = max(self.peak, sum(lines for _, lines, _ in self.sending))
 
     def listed(self, *entries, how="changes"):
         self.cores.update((b, 2) for b, _ in entries if b not in self.cores)
         call = super().listed(*entries, how=how)
-        self.streams.listed(how, call[2])
+        self.streams.backends_listed(how, call[2])
         return call
 
     def seconds(self, count):
@@ -102,7 +106,7 @@
 
     phase("start", start)
     phase("join", join)
-    row["sections"], row["unbound"] = fleet.planner.sections, len(fleet.planner.users.waiting)
+    row["sections"], row["unbound"] = fleet.planner.subset_count, len(fleet.planner.users.waiting)
     phase("replace", replace)
     row["peak"] = round(fleet.peak)
     return row
--- a/cranecleat/bookkeeping/demand.py
+++ b/cranecleat/bookkeeping/demand.py
@@ -63,7 +63,7 @@
         self.order = live
         self.edge = bisect_right(live, settled) if settled else 0
 
-    def report(self, proxy, route, rate):
+    def report_rate(self, proxy, route, rate):
         """What one proxy's calls of a route are from now on; returns it as it is counted."""
         known = self.known[proxy]
         self.change(proxy, known, -1)
@@ -71,7 +71,7 @@
         self.change(proxy, known, 1)
         return known[3][route] / UNIT
 
-    def settle(self, since):
+    def update_settled(self, since):
         """Who joined at `since` or before is no newcomer. It may go back, too, as it rests on what is learned."""
         edge = self.edge  # it seldom moves far
         while edge < len(self.order) and self.order[edge][0] <= since:
@@ -97,26 +97,26 @@
             [(mute + young) / UNIT for mute, young in zip(self.mute, self.young, strict=True)],
         )
 
-    def expected(self):
+    def expected_rates(self):
         """By route: what was heard, and what is only typical in the mix of what was heard."""
         totals, mute = self.by_route()
         heard = sum(totals)
         return [t + more * (t / heard if heard else 1 / len(totals)) for t, more in zip(totals, mute, strict=True)]
 
-    def all(self):
+    def total_rate(self):
         return self.whole / UNIT
 
-    def of_newcomers(self):
+    def newcomer_rate(self):
         return self.newcomers / UNIT
 
-    def in_zone(self, zone):
+    def zone_rate(self, zone):
         return self.zones.get(zone, 0) / UNIT
 
-    def occupied(self):
+    def active_zone_count(self):
         """How many zones have proxies with calls."""
         return sum(calls > 0 for calls in self.zones.values())
 
-    def typical(self, zone=None):
+    def typical_rate(self, zone=None):
         """What proxies call typical, of one zone or of all."""
         return (sum(self.typicals.values()) if zone is None else self.typicals.get(zone, 0)) / UNIT
 
--- a/cranecleat/bookkeeping/layout.py
+++ b/cranecleat/bookkeeping/layout.py
@@ -10,9 +10,9 @@
         groups = {}
         for number, route in enumerate(routes):
             groups.setdefault((route.own_zone, route.kinds, route.zones) if sections else number, []).append(number)
-        self.groups = [tuple(numbers) for numbers in groups.values()]  # a proxy is bound to a table for each
+        self.route_groups = [tuple(numbers) for numbers in groups.values()]  # a proxy is bound to a table for each
         self.tables = []
-        for numbers in self.groups:
+        for numbers in self.route_groups:
             for zone in range(zones) if routes[numbers[0]].own_zone else [None]:
                 for section in range(sections or 1):
                     place = (0 if zone is None else 1 + zone) + (1 + zones) * section
@@ -24,12 +24,12 @@
     def __iter__(self):
         return iter(self.tables)
 
-    def at(self, section, zone):
+    def tables_for(self, section, zone):
         """Tables of a proxy of that zone."""
         return self.of.get((section, None), []) + self.of.get((section, zone), [])
 
 
-def by_table(wants):
+def sum_by_table(wants):
     """Sums of what is kept by (table, route), as (table, None)."""
     whole = {}
     for (table, _), want in wants.items():
--- a/cranecleat/bookkeeping/users.py
+++ b/cranecleat/bookkeeping/users.py
@@ -4,26 +4,30 @@
 class Users:
     """`tables_each`: a proxy that is bound to fewer tables waits."""
 
-    def __init__(self, tables_each):
-        self.tables_each = tables_each
-        self.tables, self.waiting, self.bare = {}, {}, set()  # table -> {p: proxy}; p -> proxy; not bound at all
+    def __init__(self, tables_per_proxy):
+        self.tables_per_proxy = tables_per_proxy
+        self.proxies_by_table, self.waiting, self.unbound = (
+            {},
+            {},
+            set(),
+        )  # table -> {p: proxy}; p -> proxy; not bound at all
 
     def join(self, p, proxy):
         self.waiting[p] = proxy
-        self.bare.add(p)
+        self.unbound.add(p)
 
     def leave(self, p, proxy):
         self.waiting.pop(p, None)
-        self.bare.discard(p)
-        for table in proxy.bound:
-            self.tables[table].pop(p, None)
+        self.unbound.discard(p)
+        for table in proxy.bound_tables:
+            self.proxies_by_table[table].pop(p, None)
 
     def bind(self, p, proxy, table):
-        proxy.bound.add(table)
-        self.tables.setdefault(table, {})[p] = proxy
-        self.bare.discard(p)
-        if len(proxy.bound) >= self.tables_each:
+        proxy.bound_tables.add(table)
+        self.proxies_by_table.setdefault(table, {})[p] = proxy
+        self.unbound.discard(p)
+        if len(proxy.bound_tables) >= self.tables_per_proxy:
             self.waiting.pop(p, None)
 
-    def of(self, table):
-        return self.tables.get(table, {}).values()
+    def of_table(self, table):
+        return self.proxies_by_table.get(table, {}).values()
--- a/cranecleat/commands/files.py
+++ b/cranecleat/commands/files.py
@@ -12,10 +12,10 @@
 
 def looked(folder):
     from cranecleat.files.disk import Disk
-    from cranecleat.files.recover import look
+    from cranecleat.files.recover import scan_folder
 
     try:
-        return Disk(folder), look(Disk(folder))
+        return Disk(folder), scan_folder(Disk(folder))
     except OSError as failure:
         end(f"{folder}: {failure.strerror}")
 
@@ -45,7 +45,7 @@
     as_json: bool = typer.Option(False, "--json", help="One JSON object."),
 ):
     """Prints who writes the folder, the tables, each proxy's generation, and what it says that it has in force."""
-    from cranecleat.files.disk import BACK, BODIES, OWNER, read_owner
+    from cranecleat.files.disk import BODIES, OWNER, REPORTS, read_owner
     from cranecleat.files.format import UnusableFileError, read_body, read_report
 
     disk, found = looked(folder)
@@ -56,7 +56,7 @@
     reports = {}
     for who in found.orders:
         try:
-            reports[who] = read_report(disk.read(BACK, f"p{who}") or b"")
+            reports[who] = read_report(disk.read(REPORTS, f"p{who}") or b"")
         except (UnusableFileError, OSError):
             continue
     tables = found.tables
@@ -76,14 +76,14 @@
             "no report"
             if report is None
             else "in force"
-            if (report.applied[0] >= tables.stamp.generation and report.applied[1] >= orders.stamp.generation)
+            if (report.applied[0] >= tables.header.generation and report.applied[1] >= orders.header.generation)
             else "behind"
         )
         rows.append(
             (
                 who,
                 "yes" if orders.active else "no",
-                orders.stamp.generation,
+                orders.header.generation,
                 orders.needs,
                 " ".join(f"{route}:{number}" for route, number in orders.bound.items()) or "-",
                 behind,
@@ -140,17 +140,17 @@
     follower, said, begun = Follower(folder, proxy, kept), None, time.monotonic()
     while not seconds or time.monotonic() - begun < seconds:
         before = follower.view.seen, follower.view.fence
-        again = follower.look()
+        again = follower.poll()
         if (follower.view.seen, follower.view.fence) != before or again:
-            force = follower.view.force
+            force = follower.view.in_force
             print(
                 json.dumps(
                     {
                         "applied": force.applied,
                         "active": force.active,
                         "levels": force.levels,
-                        "lines": {route: follower.view.pick_from(route) for route in force.lines},
-                        "out": sorted(force.out),
+                        "lines": {route: follower.view.pick_from(route) for route in force.weights},
+                        "out": sorted(force.withdrawn),
                         "again": [one.call for one in again],
                     }
                 ),
--- a/cranecleat/commands/keys.py
+++ b/cranecleat/commands/keys.py
@@ -8,11 +8,11 @@
 
 
 def public_of(path):
-    from cranecleat.gossip.keys import KeyFileError, load
+    from cranecleat.gossip.keys import KeyFileError, read_key_file
     from cranecleat.gossip.seal import Signer
 
     try:
-        return Signer(load(path)).public
+        return Signer(read_key_file(path)).public
     except KeyFileError as wrong:
         end(wrong)
 
@@ -21,7 +21,7 @@
 def new(file: str = typer.Argument(..., help="Where the secret key goes; it must not exist yet.")):
     """Makes a key: the secret into FILE (mode 600), the public one onto the screen, for every member's roster."""
     from cranecleat.gossip.keys import KeyFileError
-    from cranecleat.gossip.keys import new as make
+    from cranecleat.gossip.keys import create_key_file as make
 
     try:
         make(file)
@@ -51,10 +51,10 @@
     """
     from cranecleat.gossip.keys import fingerprint
     from cranecleat.operator.document import DocumentError
-    from cranecleat.operator.file import read
+    from cranecleat.operator.file import read_operator_file
 
     try:
-        section = read(file).gossip
+        section = read_operator_file(file).gossip
     except DocumentError as wrong:
         end("\n".join(map(str, wrong.mistakes)))
     if section is None:
--- a/cranecleat/commands/root.py
+++ b/cranecleat/commands/root.py
@@ -46,10 +46,10 @@
 ):
     """Checks an operator's file: each mistake with its line and what would be right. Exit code 2 if there is one."""
     from cranecleat.operator.document import DocumentError
-    from cranecleat.operator.file import read
+    from cranecleat.operator.file import read_operator_file
 
     try:
-        switched = read(file, name)
+        switched = read_operator_file(file, name)
     except DocumentError as wrong:
         for mistake in wrong.mistakes:
             print(mistake, file=sys.stderr)
--- a/cranecleat/decoding.py
+++ b/cranecleat/decoding.py
@@ -3,7 +3,7 @@
 
 from cranecleat.interface import Bootstrap, Route
 
-MICRO, MILLI = 1_000_000, 1_000  # microseconds in a second, in a millisecond
+US_PER_SECOND, US_PER_MS = 1_000_000, 1_000  # microseconds in a second, in a millisecond
 ADMISSIONS = ("fraction", "per_second", "silent")
 
 
@@ -11,8 +11,8 @@
     """Something that a front was given and cannot read; the text says what."""
 
 
-def micros(seconds):
-    return round(seconds * MICRO)
+def to_microseconds(seconds):
+    return round(seconds * US_PER_SECOND)
 
 
 def indices(names, all_names):
@@ -28,7 +28,7 @@
     return table[value] if isinstance(table, dict) else value
 
 
-def bootstrap(info):
+def decode_bootstrap(info):
     """Decodes the settings of a start message; a missing figure is named in the error."""
     try:
         special, rules = info["specifics"], info["rules"]
@@ -37,7 +37,7 @@
         routes = tuple(
             Route(
                 importance=float(c["credit"]),
-                slo=micros(c["goalTime"]),
+                slo=to_microseconds(c["goalTime"]),
                 own_zone=bool(own_zone[i]) if i < len(own_zone) else False,
                 kinds=indices(c.get("onlyKinds"), kinds),
                 zones=indices(c.get("onlyZones"), zones),
@@ -48,21 +48,21 @@
             routes=routes,
             zones=len(zones),
             coordinators=int(info.get("groupSize", 1)),
-            must_ask=info["membershipMode"] == "ask",
-            ask_within=micros(rules.get("askWithin", 10)),
+            must_watch=info["membershipMode"] == "ask",
+            watch_timeout=to_microseconds(rules.get("askWithin", 10)),
             admission=choice(ADMISSIONS, special["admission"], "admission"),
-            cycle=micros(special["cycle"]),
+            cycle=to_microseconds(special["cycle"]),
             backlog=int(special["backlog"]),
-            pace=float(special["egressPerS"]),
-            head=float(special["perMessage"]),
-            messages_most=int(special.get("messagesMost", 0)),
-            messages_over=micros(special.get("countedOver", 10)),
-            grace=micros(rules["stopSendingWithin"]),
-            cold=micros(rules["cold"]),
-            cold_from=float(rules["coldFrom"]),
+            channel_lines_per_second=float(special["egressPerS"]),
+            message_overhead=float(special["perMessage"]),
+            message_limit=int(special.get("messagesMost", 0)),
+            message_limit_window=to_microseconds(special.get("countedOver", 10)),
+            grace=to_microseconds(rules["stopSendingWithin"]),
+            warm_up_time=to_microseconds(rules["cold"]),
+            cold_start_capacity=float(rules["coldFrom"]),
             proxies=int(special.get("proxyCount") or 0),
-            intake=float(special.get("intakePerS") or 0),
-            tip=float(rules.get("tipMultiple", 3.0)),
+            report_lines_per_second=float(special.get("intakePerS") or 0),
+            cold_overload_multiple=float(rules.get("tipMultiple", 3.0)),
         )
     except KeyError as missing:
         raise MalformedError(f"the start message lacks {missing.args[0]!r}") from None
@@ -72,7 +72,7 @@
         raise MalformedError(f"the start message cannot be read: {wrong}") from None
 
 
-class Names:
+class IndexMap:
     """Backend ids and small indices, for one instance. An index is used again once its backend is forgotten."""
 
     def __init__(self):
--- a/cranecleat/files/choice.py
+++ b/cranecleat/files/choice.py
@@ -5,7 +5,10 @@
 served by two.
 """
 
-LOSE, HOLD = 1_500_000, 10_000_000  # without a stream before files take over; with one before it is gone back to
+STREAM_LOST_AFTER_US, STREAM_STABLE_AFTER_US = (
+    1_500_000,
+    10_000_000,
+)  # without a stream before files take over; with one before it is gone back to
 STREAM, FILES = "stream", "files"
 
 
@@ -18,7 +21,7 @@
 
 
 class Choice:
-    def __init__(self, lose=LOSE, hold=HOLD):
+    def __init__(self, lose=STREAM_LOST_AFTER_US, hold=STREAM_STABLE_AFTER_US):
         self.lose, self.hold, self.sides = lose, hold, {}
 
     def stream(self, now, proxy, up):
--- a/cranecleat/files/disk.py
+++ b/cranecleat/files/disk.py
@@ -13,9 +13,9 @@
 from cranecleat.files.format import LONGEST, UnusableFileError, Words, name, sealed, unname
 
 TABLES, OWNER, LOCK = "tables", "owner", "lock"
-BODIES, ORDERS, BACK = "bodies", "orders", "back"
+BODIES, ORDERS, REPORTS = "bodies", "orders", "back"
 NEW = ".new"  # what a temporary name ends in
-SYNCS = ("none", "data", "all")  # nothing; each file before it gets its name; and the folder after that
+SYNC_MODES = ("none", "data", "all")  # nothing; each file before it gets its name; and the folder after that
 PIECE = 1 << 16
 
 
@@ -71,7 +71,7 @@
         finally:
             calls.close(file)
 
-    def names(self, folder):
+    def list_files(self, folder):
         """Names and what tells one version of a file from another; temporary ones are left out."""
         try:
             with self.calls.scandir(self.path(folder)) as entries:
@@ -135,7 +135,7 @@
             self.calls.close(folder)
 
     def prepare(self):
-        for folder in ("", BODIES, ORDERS, BACK):
+        for folder in ("", BODIES, ORDERS, REPORTS):
             with contextlib.suppress(FileExistsError):
                 self.calls.mkdir(self.path(folder) if folder else self.root, 0o755)
 
@@ -150,7 +150,7 @@
         return swept
 
 
-class Hold:
+class FolderLock:
     """The writer's hold of a folder: a lock while the process lives, and a fence that each writer raises. The lock
     keeps two processes of one machine apart; the fence is for folders that machines share, where locks may not
     reach."""
@@ -203,7 +203,7 @@
     return words.whole("fence"), words.whole("life"), unname(words.one("writer", 1)[0])
 
 
-def do(disk, step):
+def apply_step(disk, step):
     """One step of a publication."""
     kind, *what = step
     if kind == "body":
--- a/cranecleat/files/follow.py
+++ b/cranecleat/files/follow.py
@@ -9,7 +9,7 @@
 import os
 from functools import partial
 
-from cranecleat.files.disk import BACK, BODIES, ORDERS, TABLES, Calls, Disk
+from cranecleat.files.disk import BODIES, ORDERS, REPORTS, TABLES, Calls, Disk
 from cranecleat.files.format import UnusableFileError, read_body, read_orders, read_tables, write_report
 from cranecleat.files.view import View
 
@@ -38,7 +38,7 @@
             keeper = Disk(os.path.dirname(os.path.abspath(self.kept)), "all")
             keeper.replace(f"{order.number} {self.view.fence}\n".encode(), os.path.basename(self.kept))
 
-    def look(self):
+    def poll(self):
         """Takes up what has changed. Returns calls to try again, each once ever; `wrong` says why nothing was taken
         up."""
         try:
@@ -95,5 +95,5 @@
 
     def report(self, report):
         """Puts this reader's report in place, with what it has in force."""
-        report.applied, report.again = self.view.force.applied, self.view.done
-        self.disk.replace(write_report(report), BACK, report.who)
+        report.applied, report.again = self.view.in_force.applied, self.view.done
+        self.disk.replace(write_report(report), REPORTS, report.who)
--- a/cranecleat/files/format.py
+++ b/cranecleat/files/format.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stamp:
+class Header:
     """Which writer wrote it, in which life, as its how-manieth, after which one."""
 
     fence: int
@@ -44,7 +44,7 @@
 class Tables:
     """What all proxies share: which body each table has, the levels, and who is shut out."""
 
-    stamp: Stamp
+    header: Header
     bodies: dict  # table -> a body's name
     levels: dict  # (table or None for all, route) -> (level, tries)
     out: frozenset
@@ -63,7 +63,7 @@
 class Orders:
     """What one proxy needs beside the tables. `active`: whether it is to follow files at all."""
 
-    stamp: Stamp
+    header: Header
     proxy: int
     active: bool
     needs: int  # the least generation of the tables that it goes with
@@ -171,12 +171,12 @@
                 raise UnusableFileError(f"a line {first!r} without its {length} words")
             yield rest
 
-    def stamp(self):
-        return Stamp(*(self.whole(first) for first in ("fence", "life", "generation", "after")))
+    def header(self):
+        return Header(*(self.whole(first) for first in ("fence", "life", "generation", "after")))
 
 
-def stamped(stamp):
-    return (f"fence {stamp.fence}", f"life {stamp.life}", f"generation {stamp.generation}", f"after {stamp.after}")
+def stamped(header):
+    return (f"fence {header.fence}", f"life {header.life}", f"generation {header.generation}", f"after {header.after}")
 
 
 STAMPED = {"fence", "life", "generation", "after"}
@@ -208,7 +208,7 @@
 
 
 def write_tables(tables):
-    lines = [*stamped(tables.stamp)]
+    lines = [*stamped(tables.header)]
     lines += [f"table {table} {body}" for table, body in sorted(tables.bodies.items())]
     lines += [
         f"level {'all' if table is None else table} {name(route)} {figure(level)} {tries}"
@@ -233,14 +233,14 @@
         )
         for table, route, level, tries in words.many("level", 4)
     }
-    return Tables(words.stamp(), bodies, levels, frozenset(unname(b) for (b,) in words.many("out", 1)))
+    return Tables(words.header(), bodies, levels, frozenset(unname(b) for (b,) in words.many("out", 1)))
 
 
 # Orders
 
 
 def write_orders(orders):
-    lines = [*stamped(orders.stamp), f"proxy {orders.proxy}", f"active {int(orders.active)}", f"needs {orders.needs}"]
+    lines = [*stamped(orders.header), f"proxy {orders.proxy}", f"active {int(orders.active)}", f"needs {orders.needs}"]
     lines += [f"bind {name(route)} {table}" for route, table in sorted(orders.bound.items())]
     lines += [f"again {one.number} {name(one.call)} {one.proof}" for one in orders.again]
     return sealed("orders", lines)
@@ -259,7 +259,7 @@
     if active > 1:
         raise UnusableFileError("active has to be 0 or 1")
     bound = {unname(route): count(table, "table") for route, table in words.many("bind", 2)}
-    return Orders(words.stamp(), words.whole("proxy"), bool(active), words.whole("needs"), bound, tuple(again))
+    return Orders(words.header(), words.whole("proxy"), bool(active), words.whole("needs"), bound, tuple(again))
 
 
 # Reports
--- a/cranecleat/files/intake.py
+++ b/cranecleat/files/intake.py
@@ -47,8 +47,8 @@
             self.parties[report.who] = Party(report, now)
             if proxy is not None:
                 if party:
-                    calls.append(("left", proxy))
-                calls.append(("joined", proxy, self.zones[report.zone], report.typical, report.standing, 0))
+                    calls.append(("proxy_left", proxy))
+                calls.append(("proxy_joined", proxy, self.zones[report.zone], report.typical, report.standing, 0))
             return calls
         self.check(party.report, report)
         party.report, party.at = report, now
@@ -78,7 +78,7 @@
         if proxy is not None:
             for route, index in self.routes.items():
                 came = report.calls.get(route, 0) - old.calls.get(route, 0)
-                calls.append(("came", proxy, index, came, covers))
+                calls.append(("demand_reported", proxy, index, came, covers))
         zone = self.zones[report.zone]
         for backend, (tries, lost, took) in report.met.items():
             before = old.met.get(backend, (0, 0, 0))
@@ -86,7 +86,7 @@
             if tries and backend in self.names.index:
                 calls.append(
                     (
-                        "met",
+                        "attempts_reported",
                         self.names(backend),
                         zone,
                         tries,
@@ -106,7 +106,7 @@
             del self.parties[who]
             proxy = self.known(who)
             if proxy is not None:
-                calls.append(("left", proxy))
+                calls.append(("proxy_left", proxy))
         return calls, ended
 
     @staticmethod
--- a/cranecleat/files/ledger.py
+++ b/cranecleat/files/ledger.py
@@ -8,18 +8,18 @@
 two contents.
 """
 
-from cranecleat.files.format import Again, Body, Orders, Stamp, Tables, write_body, write_orders, write_tables
+from cranecleat.files.format import Again, Body, Header, Orders, Tables, write_body, write_orders, write_tables
 
 KEPT = 64  # publications whose bodies are kept for readers that lag; one that lags more reads the tables anew
 NUMBERS = 1 << 24  # orders to try again in one writer's life
 ABOUT = 8  # orders to try again that one proxy may be given at a time
 
 
-class Seat:
+class ProxyState:
     """One proxy that is served through files."""
 
     def __init__(self):
-        self.bound, self.again = {}, []
+        self.bound, self.retries = {}, []
         self.active, self.dirty = True, True
         self.generation = self.needs = 0  # of its orders as published
         self.applied = (0, 0)  # generations of tables and orders that it has in force
@@ -33,33 +33,39 @@
     def __init__(self, names, routes, fence, life, generation=0):
         self.names, self.routes = names, routes  # backends' names; routes' names
         self.fence, self.life, self.generation = fence, life, generation
-        self.seats, self.gone = {}, set()  # proxies joined; those whose orders have to say that they are served no more
+        self.proxies, self.gone = (
+            {},
+            set(),
+        )  # proxies joined; those whose orders have to say that they are served no more
         self.tables, self.levels, self.out = {}, {}, set()
         self.published = None  # the tables as last published
         self.bodies, self.recent = {}, []  # body's name -> its bytes, as they stand; (generation, names) lately
         self.shared, self.touched = True, set()  # whether tables differ from what stands; tables with other lines
-        self.unsent, self.owed = [], []  # marks of rounds not yet published; (mark, proxy -> generations) not applied
+        self.unsent, self.unacknowledged = (
+            [],
+            [],
+        )  # marks of rounds not yet published; (mark, proxy -> generations) not applied
         self.numbered = fence * NUMBERS
-        self.figures = {"publications": 0, "bytes": 0, "swaps": 0}
+        self.counters = {"publications": 0, "bytes": 0, "swaps": 0}
 
     # Who is joined
 
     def join(self, proxy):
-        seat = self.seats.get(proxy) or Seat()
-        again, seat = seat.again, Seat()
-        seat.again = again  # what it was told to try again stands until it says that it has taken that on
-        self.seats[proxy] = seat
+        state = self.proxies.get(proxy) or ProxyState()
+        again, state = state.retries, ProxyState()
+        state.retries = again  # what it was told to try again stands until it says that it has taken that on
+        self.proxies[proxy] = state
         self.gone.discard(proxy)
 
     def leave(self, proxy):
-        if self.seats.pop(proxy, None):
+        if self.proxies.pop(proxy, None):
             self.gone.add(proxy)
-            for _, who in self.owed:
+            for _, who in self.unacknowledged:
                 who.pop(proxy, None)
 
     # What the planner decides
 
-    def line(self, table, backend, weight):
+    def set_weight(self, table, backend, weight):
         lines = self.tables.setdefault(table, {})
         lines[backend] = weight
         if not weight:
@@ -67,19 +73,19 @@
         self.touched.add(table)
         self.shared = True
 
-    def bind(self, proxy, table, routes, narrow=False):
-        seat = self.seats.get(proxy)
-        if seat:
-            seat.bound.update(dict.fromkeys(routes, table))
+    def bind(self, proxy, table, routes, is_subset=False):
+        state = self.proxies.get(proxy)
+        if state:
+            state.bound.update(dict.fromkeys(routes, table))
             self.tables.setdefault(table, {})
             self.touched.add(table)
-            self.shared = seat.dirty = True
+            self.shared = state.dirty = True
 
     def withdraw(self, backend, out):
         (self.out.add if out else self.out.discard)(backend)
         self.shared = True
 
-    def admit(self, table, routes, level, tries):
+    def set_admission(self, table, routes, level, tries):
         for route in routes:
             self.levels[table, route] = level, tries
         self.shared = True
@@ -89,28 +95,28 @@
         self.out.discard(backend)
         self.shared = True
 
-    def mark(self, number):
+    def request_ack(self, number):
         """Returns who gets anything of this round. What stands in the shared tables concerns all."""
-        concerned = {p for p, seat in self.seats.items() if self.shared or seat.dirty}
+        concerned = {p for p, state in self.proxies.items() if self.shared or state.dirty}
         if concerned:
             self.unsent.append((number, concerned))
         return concerned
 
-    def again(self, proxy, call, proof):
+    def order_retry(self, proxy, call, proof):
         """Orders one call to be tried again; returns the order's number, or None where the proxy has too many. Whoever
         orders it holds the proof. A number is never given twice, as each life of a writer has its own."""
-        seat = self.seats.get(proxy)
-        if seat is None or len(seat.again) >= ABOUT:
+        state = self.proxies.get(proxy)
+        if state is None or len(state.retries) >= ABOUT:
             return None
         self.numbered += 1
-        seat.again.append(Again(self.numbered, call, proof))
-        seat.dirty = True
+        state.retries.append(Again(self.numbered, call, proof))
+        state.dirty = True
         return self.numbered
 
     # What is to be written
 
-    def due(self):
-        return self.shared or bool(self.gone) or any(seat.dirty for seat in self.seats.values())
+    def has_changes(self):
+        return self.shared or bool(self.gone) or any(state.dirty for state in self.proxies.values())
 
     def steps(self):
         """What has to be done now, in order: ("body", name, bytes), ("tables", bytes), ("orders", proxy, bytes),
@@ -125,7 +131,7 @@
                 if called not in self.bodies:
                     steps.append(("body", called, data))
             tables = Tables(
-                self.stamp(self.published.stamp.generation if self.published else 0),
+                self.next_header(self.published.header.generation if self.published else 0),
                 bodies,
                 {(table, self.routes[route]): level for (table, route), level in self.levels.items()},
                 frozenset(self.names.ids[b] for b in self.out),
@@ -135,61 +141,61 @@
         else:
             self.writing = self.published
         self.orders = {}
-        for proxy, seat in self.seats.items():
-            if seat.dirty:
-                self.orders[proxy] = self.orders_of(proxy, seat, self.writing.stamp.generation)
+        for proxy, state in self.proxies.items():
+            if state.dirty:
+                self.orders[proxy] = self.orders_of(proxy, state, self.writing.header.generation)
         for proxy in self.gone:
-            self.orders[proxy] = Orders(self.stamp(0), proxy, False, 0, {})
+            self.orders[proxy] = Orders(self.next_header(0), proxy, False, 0, {})
         steps += [("orders", proxy, write_orders(orders)) for proxy, orders in self.orders.items()]
         return steps
 
-    def orders_of(self, proxy, seat, needs):
-        bound = {self.routes[route]: table for route, table in seat.bound.items()}
-        return Orders(self.stamp(seat.generation), proxy, seat.active, needs, bound, tuple(seat.again))
+    def orders_of(self, proxy, state, needs):
+        bound = {self.routes[route]: table for route, table in state.bound.items()}
+        return Orders(self.next_header(state.generation), proxy, state.active, needs, bound, tuple(state.retries))
 
-    def stamp(self, after):
+    def next_header(self, after):
         self.generation += 1
-        return Stamp(self.fence, self.life, self.generation, after)
+        return Header(self.fence, self.life, self.generation, after)
 
-    def written(self, step):
+    def step_done(self, step):
         """One step stands."""
         kind, *what = step
         if kind == "body":
             self.bodies[what[0]] = len(what[1])
         if kind != "drop":
-            self.figures["bytes"] += len(what[-1])
-            self.figures["swaps"] += 1
+            self.counters["bytes"] += len(what[-1])
+            self.counters["swaps"] += 1
 
-    def done(self, now):
+    def publication_done(self, now):
         """All of `steps` stands. Returns bodies that may go, as further steps."""
         self.published, self.shared, self.touched = self.writing, False, set()
         self.gone.clear()
-        self.figures["publications"] += 1
-        tables = self.published.stamp.generation
+        self.counters["publications"] += 1
+        tables = self.published.header.generation
         for proxy, orders in self.orders.items():
-            seat = self.seats.get(proxy)
-            if seat:
-                seat.generation, seat.needs, seat.dirty = orders.stamp.generation, orders.needs, False
+            state = self.proxies.get(proxy)
+            if state:
+                state.generation, state.needs, state.dirty = orders.header.generation, orders.needs, False
         for mark, concerned in self.unsent:
-            who = {p: (tables, self.seats[p].generation) for p in concerned if p in self.seats}
-            self.owed.append((mark, who))
+            who = {p: (tables, self.proxies[p].generation) for p in concerned if p in self.proxies}
+            self.unacknowledged.append((mark, who))
             for p in who:
-                self.seats[p].told_at = self.seats[p].told_at if self.seats[p].told_at is not None else now
+                self.proxies[p].told_at = self.proxies[p].told_at if self.proxies[p].told_at is not None else now
         self.unsent = []
         self.recent = [(g, names) for g, names in self.recent if g != tables][-KEPT:]
         self.recent.append((tables, frozenset(self.published.bodies.values())))
         return self.spare()
 
-    def failed(self):
+    def publication_failed(self):
         """Some step did not work. All that was to be written is written again, under new generations."""
         self.shared = True
         for proxy in self.orders:
-            if proxy in self.seats:
-                self.seats[proxy].dirty = True
+            if proxy in self.proxies:
+                self.proxies[proxy].dirty = True
 
     def spare(self):
         """Bodies that no table that a reader may still hold names."""
-        oldest = min((seat.applied[0] for seat in self.seats.values()), default=self.published.stamp.generation)
+        oldest = min((state.applied[0] for state in self.proxies.values()), default=self.published.header.generation)
         self.recent = [
             one for i, one in enumerate(self.recent) if i + 1 == len(self.recent) or self.recent[i + 1][0] > oldest
         ]
@@ -201,32 +207,32 @@
 
     # What comes back
 
-    def applied(self, proxy, tables, orders, again, now):
+    def acknowledge(self, proxy, tables, orders, again, now):
         """What a proxy says that it has in force. Returns the marks that it has answered thereby, the oldest first."""
-        seat = self.seats.get(proxy)
-        if seat is None:
+        state = self.proxies.get(proxy)
+        if state is None:
             return []
         if tables > self.generation or orders > self.generation:
             return []  # of another writer: it has nothing of ours yet
-        seat.applied = max(seat.applied[0], tables), max(seat.applied[1], orders)
-        if seat.again and again >= seat.again[0].number:
-            seat.again = [one for one in seat.again if one.number > again]
-            seat.dirty = True
+        state.applied = max(state.applied[0], tables), max(state.applied[1], orders)
+        if state.retries and again >= state.retries[0].number:
+            state.retries = [one for one in state.retries if one.number > again]
+            state.dirty = True
         answered, open_ones = [], False
-        for mark, who in self.owed:
+        for mark, who in self.unacknowledged:
             if proxy in who:
-                if seat.applied[0] >= who[proxy][0] and seat.applied[1] >= who[proxy][1]:
+                if state.applied[0] >= who[proxy][0] and state.applied[1] >= who[proxy][1]:
                     del who[proxy]
                     answered.append(mark)
                 else:
                     open_ones = True
-        self.owed = [(mark, who) for mark, who in self.owed if who]
+        self.unacknowledged = [(mark, who) for mark, who in self.unacknowledged if who]
         if not open_ones:
-            seat.told_at = None
+            state.told_at = None
         elif answered:
-            seat.told_at = now
+            state.told_at = now
         return answered
 
     def lags(self, now):
         """Microseconds for which each proxy has had something that it has not applied; 0: nothing."""
-        return {p: now - seat.told_at if seat.told_at is not None else 0 for p, seat in self.seats.items()}
+        return {p: now - state.told_at if state.told_at is not None else 0 for p, state in self.proxies.items()}
--- a/cranecleat/files/recover.py
+++ b/cranecleat/files/recover.py
@@ -19,12 +19,12 @@
     swept: int = 0
 
 
-def look(disk, sweep=False):
+def scan_folder(disk, sweep=False):
     """Reads a whole folder. Raises OSError where it cannot be read at all."""
     with disk.calls.scandir(disk.root):  # a folder that is not there is no empty one
         pass
     found = Found(swept=disk.sweep() if sweep else 0)
-    found.foreign = sorted(called for called, _ in disk.names("") if called not in OURS)
+    found.foreign = sorted(called for called, _ in disk.list_files("") if called not in OURS)
 
     def read(reader, *parts):
         try:
@@ -34,11 +34,11 @@
             found.wrong.append(("/".join(parts), str(wrong)))
             return None
 
-    for called, version in disk.names(BODIES):
+    for called, version in disk.list_files(BODIES):
         if read(lambda data, called=called: read_body(data, called), BODIES, called):
             found.bodies[called] = version[-1]
     found.tables = read(read_tables, TABLES) or None
-    for called, _ in disk.names(ORDERS):
+    for called, _ in disk.list_files(ORDERS):
         orders = read(read_orders, ORDERS, called)
         if orders and called != str(orders.proxy):
             found.wrong.append((f"{ORDERS}/{called}", f"orders of proxy {orders.proxy}"))
@@ -48,6 +48,6 @@
         for table, body in found.tables.bodies.items():
             if body not in found.bodies:
                 found.wrong.append((TABLES, f"table {table} names body {body}, which does not stand"))
-    stamps = [found.tables.stamp] if found.tables else []
-    found.generation = max((s.generation for s in stamps + [o.stamp for o in found.orders.values()]), default=0)
+    stamps = [found.tables.header] if found.tables else []
+    found.generation = max((s.generation for s in stamps + [o.header for o in found.orders.values()]), default=0)
     return found
--- a/cranecleat/gossip/agent.py
+++ b/cranecleat/gossip/agent.py
@@ -14,7 +14,9 @@
 from cranecleat.gossip.pace import Bucket
 from cranecleat.gossip.wire import DatagramError, Kind, Refused
 
-RATE = 6144  # bytes a second that an instance sends at the most, if the operator's file says nothing else
+DEFAULT_BYTES_PER_SECOND = (
+    6144  # bytes a second that an instance sends at the most, if the operator's file says nothing else
+)
 CARRIED = 28  # bytes of IP and UDP headers, which count
 PROBES = 0.5  # of the rate is for probes and answers, the rest for rumours: neither can starve the other
 BURST = 8 * (wire.LONGEST + CARRIED)  # bytes at once
@@ -28,15 +30,15 @@
 
 
 class Agent:
-    def __init__(self, roster, signer, seed, life, now, checker=None, rate=RATE):
+    def __init__(self, roster, signer, seed, life, now, checker=None, rate=DEFAULT_BYTES_PER_SECOND):
         self.roster, self.signer, self.seed, self.draws = roster, signer, seed, 0
         self.life, self.incarnation, self.counter = min(life, LIFE_MOST), 0, 0
         self.began, self.left = now, False
         self.members = Members(roster.me, roster.others(), self.draw, now)
         self.claims = Claims(roster.me)
         self.door = seal.Door(roster, checker or seal.Checker(roster), now)
-        self.probes = Bucket(rate * PROBES, BURST, now)
-        self.rumours = Bucket(rate * (1 - PROBES), BURST, now)
+        self.probe_bucket = Bucket(rate * PROBES, BURST, now)
+        self.rumour_bucket = Bucket(rate * (1 - PROBES), BURST, now)
         self.misses, self.stated, self.stated_at = {}, {}, now
         self.asked = {}  # nonce of ours -> (who asked, its nonce, whom, when)
         self.next_round, self.events = now + self.draw(ROUND), []
@@ -47,11 +49,11 @@
         self.draws += 1
         return zlib.crc32(f"{self.seed}:{self.draws}".encode()) % below
 
-    def follow(self, roster, signer, now):
+    def update_roster(self, roster, signer, now):
         """Another roster or key, while all goes on."""
         self.roster, self.signer = roster, signer
-        self.door.follow(roster)
-        self.members.follow(roster.others(), now)
+        self.door.update_roster(roster)
+        self.members.update_roster(roster.others(), now)
         self.claims.keep(roster.members)
         self.state(now)
 
@@ -70,7 +72,7 @@
         """A statement of ours: what we miss most, with our life and incarnation."""
         most = sorted(self.misses.items(), key=lambda claim: (-claim[1], claim[0]))[: wire.ENTRIES]
         entries = [(key, min(round(missing * wire.PARTS), 255), 0) for key, missing in most]
-        mine = self.claims.held.get(self.roster.me)
+        mine = self.claims.latest.get(self.roster.me)
         version = (now - self.began) // TENTH
         if mine and mine.statement.life == self.life:
             version = max(version, mine.statement.version + 1)
@@ -88,7 +90,7 @@
         return [
             one
             for to in self.members.pick(self.members.live(), len(self.members.standing))
-            for one in self.send(now, self.rumours, to, Kind.RUMOUR)
+            for one in self.send(now, self.rumour_bucket, to, Kind.RUMOUR)
         ]
 
     def pooled(self, now):
@@ -104,7 +106,7 @@
             return []
         held = self.claims.to_tell(now, rounds(len(self.roster.members)))
         self.counter += 1
-        head = wire.Head(self.roster.tag, self.roster.me, to, self.life, self.counter, kind, nonce, subject, 0)
+        head = wire.Header(self.roster.tag, self.roster.me, to, self.life, self.counter, kind, nonce, subject, 0)
         suspects = self.members.suspects()
         start = self.draw(len(suspects)) if suspects else 0
         data = wire.pack(head, [*about, *suspects[start:], *suspects[:start]], held and held.statement.raw)
@@ -121,18 +123,18 @@
         out = []
         for what, to, *rest in self.members.step(now):
             if what == "ping":
-                out += self.send(now, self.probes, to, Kind.PING, rest[0])
+                out += self.send(now, self.probe_bucket, to, Kind.PING, rest[0])
             else:
-                out += self.send(now, self.probes, to, Kind.ASK, rest[1], rest[0])
+                out += self.send(now, self.probe_bucket, to, Kind.ASK, rest[1], rest[0])
         for nonce, (asker, theirs, whom, at) in list(self.asked.items()):
             if now - at >= PERIOD // 2:
                 del self.asked[nonce]
-                out += self.send(now, self.probes, asker, Kind.NACK, theirs, whom)
+                out += self.send(now, self.probe_bucket, asker, Kind.NACK, theirs, whom)
         if now >= self.next_round:
             self.next_round = now + ROUND
             if self.claims.to_tell(now, rounds(len(self.roster.members))) or self.members.suspects():
                 for to in self.members.pick(self.members.of("alive", "suspect", "unheard"), FANOUT):
-                    out += self.send(now, self.rumours, to, Kind.RUMOUR)
+                    out += self.send(now, self.rumour_bucket, to, Kind.RUMOUR)
         self.notice(now)
         return out
 
@@ -154,7 +156,7 @@
             if wrong.why is Refused.OLD_LIFE:  # signed: an older datagram, or one whose clock was set back
                 known = self.members.standing[head.sender]
                 return self.send(
-                    now, self.probes, head.sender, Kind.RUMOUR, about=[(head.sender, known.life, NO_SUSPICION)]
+                    now, self.probe_bucket, head.sender, Kind.RUMOUR, about=[(head.sender, known.life, NO_SUSPICION)]
                 )
             return []
         out = []
@@ -176,17 +178,17 @@
     def answer(self, head, now, about):
         kind, sender = head.kind, head.sender
         if kind == Kind.PING:
-            return self.send(now, self.probes, sender, Kind.ACK, head.nonce, about=about)
+            return self.send(now, self.probe_bucket, sender, Kind.ACK, head.nonce, about=about)
         if kind == Kind.ASK:
             if head.subject not in self.members.standing or len(self.asked) >= ASKED:
                 return []
             self.members.nonce = nonce = (self.members.nonce + 1) % 65536
             self.asked[nonce] = sender, head.nonce, head.subject, now
-            return self.send(now, self.probes, head.subject, Kind.PING, nonce)
+            return self.send(now, self.probe_bucket, head.subject, Kind.PING, nonce)
         if kind == Kind.ACK and not head.subject:
             asker, theirs, whom, _ = self.asked.pop(head.nonce, (None,) * 4)
             if asker is not None and whom == sender:
-                return self.send(now, self.probes, asker, Kind.ACK, theirs, whom)
+                return self.send(now, self.probe_bucket, asker, Kind.ACK, theirs, whom)
             if self.members.probe and self.members.probe.target == sender:
                 self.members.answered(head.nonce, now)
         elif kind in (Kind.ACK, Kind.NACK):
--- a/cranecleat/gossip/bridge.py
+++ b/cranecleat/gossip/bridge.py
@@ -9,7 +9,7 @@
 KEY_BYTES = 8
 
 
-def key_of(name, started):
+def backend_key(name, started):
     """A backend in one life: its id and when it started (Unix time in microseconds; 0: long ago)."""
     return hashlib.blake2b(f"{name} {started}".encode(), digest_size=KEY_BYTES, person=b"backend").digest()
 
@@ -20,27 +20,27 @@
     def __init__(self, planner, names):
         self.planner, self.names = planner, names
         self.keys = {}  # index -> (name, start, key)
-        self.said = set()  # indices that peers' claims stand for
+        self.reported = set()  # indices that peers' claims stand for
 
     def key(self, b):
         name, started = self.names.ids[b], self.planner.backends[b].started
         known = self.keys.get(b)
         if known is None or known[:2] != (name, started):
-            known = self.keys[b] = name, started, key_of(name, started)
+            known = self.keys[b] = name, started, backend_key(name, started)
         return known[2]
 
-    def misses(self):
-        return {self.key(b): missing for b, missing in self.planner.misses().items()}
+    def missing_answers(self):
+        return {self.key(b): missing for b, missing in self.planner.missing_answers().items()}
 
-    def calls(self, pooled):
+    def events(self, pooled):
         """Calls of the planner for what the others miss: also once for each that they miss no more."""
         backends = self.planner.backends
         for b in [b for b in self.keys if b not in backends]:
             del self.keys[b]
-        self.said &= backends.keys()
+        self.reported &= backends.keys()
         doubts = {}
         if pooled:
             doubts = {b: pooled[key] for b in backends if (key := self.key(b)) in pooled}
-        calls = [("doubted", b, 0.0) for b in sorted(self.said - doubts.keys())]
-        self.said = set(doubts)
-        return calls + [("doubted", b, missing) for b, missing in sorted(doubts.items())]
+        calls = [("peers_reported_missing", b, 0.0) for b in sorted(self.reported - doubts.keys())]
+        self.reported = set(doubts)
+        return calls + [("peers_reported_missing", b, missing) for b, missing in sorted(doubts.items())]
--- a/cranecleat/gossip/claims.py
+++ b/cranecleat/gossip/claims.py
@@ -25,17 +25,17 @@
     """The last statement of each member of the roster, our own among them."""
 
     def __init__(self, me):
-        self.me, self.held, self.offsets = me, {}, {}
+        self.me, self.latest, self.offsets = me, {}, {}
 
     def newer(self, statement):
-        known = self.held.get(statement.origin)
+        known = self.latest.get(statement.origin)
         return known is None or statement.order > known.statement.order
 
     def merge(self, statement, now):
         """Whether it says something that was not known."""
         if not self.newer(statement):
             return False
-        self.held[statement.origin] = Held(statement, now)
+        self.latest[statement.origin] = Held(statement, now)
         life, offset = self.offsets.get(statement.origin, (-1, 0))
         took = now - statement.version * TENTH  # the least of them is the quickest way here, whatever its clock says
         self.offsets[statement.origin] = statement.life, min(took, offset) if life == statement.life else took
@@ -47,13 +47,13 @@
         return max(now - statement.version * TENTH - offset, 0)
 
     def keep(self, members):
-        for kept in (self.held, self.offsets):
+        for kept in (self.latest, self.offsets):
             for one in [one for one in kept if one not in members]:
                 del kept[one]
 
     def current(self, now):
         """Of the others, those statements that still say something of backends."""
-        for origin, held in self.held.items():
+        for origin, held in self.latest.items():
             if origin != self.me and held.statement.entries:
                 age = self.age(held.statement, now)
                 if age < LASTS:
@@ -82,7 +82,7 @@
         the one told least often, then the newest; None if all were told `limit` times or are old. A statement without
         entries says who is alive and does not grow old."""
         best = None
-        for held in self.held.values():
+        for held in self.latest.values():
             if held.told < limit:
                 age = self.age(held.statement, now)
                 if not held.statement.entries or age < LASTS:
@@ -93,5 +93,5 @@
 
     def tell_again(self):
         """Somebody has come back and may have missed what the rest knows."""
-        for held in self.held.values():
+        for held in self.latest.values():
             held.told = 0
--- a/cranecleat/gossip/keys.py
+++ b/cranecleat/gossip/keys.py
@@ -26,7 +26,7 @@
     return key
 
 
-def new(path):
+def create_key_file(path):
     """Writes a new secret key to a file that must not exist yet, and returns it."""
     secret = os.urandom(32)
     try:
@@ -42,7 +42,7 @@
     return secret
 
 
-def load(path):
+def read_key_file(path):
     """The secret key of a file, 32 bytes."""
     try:
         with open(path, encoding="ascii") as file:
--- a/cranecleat/gossip/members.py
+++ b/cranecleat/gossip/members.py
@@ -50,7 +50,7 @@
         self.order, self.next_at, self.last = [], now + draw(PERIOD), now
         self.events = []  # (member, from, to), for the log
 
-    def follow(self, others, now):
+    def update_roster(self, others, now):
         """Another roster: who is no longer in it is forgotten, who is new is unheard."""
         self.standing = {one: self.standing.get(one) or Standing(since=now) for one in others}
         if self.probe and self.probe.target not in self.standing:
--- a/cranecleat/gossip/roster.py
+++ b/cranecleat/gossip/roster.py
@@ -13,7 +13,7 @@
     """A roster that cannot be used; the text says what is wrong and what would be right."""
 
 
-def number(name):
+def member_number(name):
     """A member's number on the wire, the same at every member, whatever else stands in its roster."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=ID_BYTES, person=b"member").digest(), "big")
 
@@ -26,7 +26,7 @@
 
     @property
     def number(self):
-        return number(self.name)
+        return member_number(self.name)
 
 
 class Roster:
@@ -36,7 +36,7 @@
         self.group, self.members = group, {}
         for member in members:
             self.add(member)
-        self.me = number(me)
+        self.me = member_number(me)
         if self.me not in self.members:
             raise RosterError(f"the roster has no member {me!r}: add the coordinator's own name, with its public key")
         self.digest = hashlib.blake2b(group.encode(), digest_size=DIGEST_BYTES, person=b"group").digest()
--- a/cranecleat/gossip/seal.py
+++ b/cranecleat/gossip/seal.py
@@ -33,9 +33,9 @@
 
     def __init__(self, roster):
         self.loaded = {}
-        self.follow(roster)
+        self.update_roster(roster)
 
-    def follow(self, roster):
+    def update_roster(self, roster):
         """Another roster: keys that are no longer in it hold nothing from now on."""
         from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PublicKey
 
@@ -48,7 +48,7 @@
             for key, loaded in zip(member.keys, self.keys[one], strict=True)
         }
 
-    def holds(self, one, use, digest, data, signature):
+    def is_valid(self, one, use, digest, data, signature):
         from cryptography.exceptions import InvalidSignature
 
         keys = self.keys.get(one, [])
@@ -95,9 +95,9 @@
         self.windows, self.budgets = {}, {}
         self.whole = Bucket(WHOLE, WHOLE, now)
 
-    def follow(self, roster):
+    def update_roster(self, roster):
         self.roster = roster
-        self.checker.follow(roster)
+        self.checker.update_roster(roster)
         for kept in (self.windows, self.budgets):
             for one in [one for one in kept if one not in roster.members]:
                 del kept[one]
@@ -120,7 +120,7 @@
     def verify(self, head, data, now):
         if not self.may(head.sender, now):
             raise DatagramError(Refused.BUDGET)
-        if not self.checker.holds(head.sender, DATAGRAM, self.roster.digest, data[:-SIGNATURE], data[-SIGNATURE:]):
+        if not self.checker.is_valid(head.sender, DATAGRAM, self.roster.digest, data[:-SIGNATURE], data[-SIGNATURE:]):
             raise DatagramError(Refused.SIGNATURE)
         window = self.windows.setdefault(head.sender, Window())
         if head.life < window.life:
@@ -131,7 +131,7 @@
         """Whether a statement is its origin's: passed on by `sender`, whose budget it costs."""
         if not self.may(sender, now):
             return False
-        return self.checker.holds(
+        return self.checker.is_valid(
             statement.origin, STATEMENT, self.roster.digest, statement.signed, statement.signature
         )
 
--- a/cranecleat/gossip/shell.py
+++ b/cranecleat/gossip/shell.py
@@ -9,7 +9,7 @@
 from cranecleat.decoding import MalformedError
 from cranecleat.gossip.agent import Agent
 from cranecleat.gossip.bridge import Bridge
-from cranecleat.gossip.keys import KeyFileError, load
+from cranecleat.gossip.keys import KeyFileError, read_key_file
 from cranecleat.gossip.roster import Roster, RosterError
 from cranecleat.gossip.seal import Signer
 
@@ -20,7 +20,7 @@
 def signer_of(section):
     """The coordinator's own key; it has to be one of those that the roster gives for it."""
     try:
-        signer = Signer(load(section.key))
+        signer = Signer(read_key_file(section.key))
     except KeyFileError as wrong:
         raise MalformedError(str(wrong)) from None
     mine = next(member for member in section.members if member.name == section.me)
@@ -39,21 +39,21 @@
         raise MalformedError(str(wrong)) from None
 
 
-class Courier(asyncio.DatagramProtocol):
+class GossipTransport(asyncio.DatagramProtocol):
     """Carries an agent's datagrams. A coordinator without peers has none of this."""
 
-    def __init__(self, hub, section):
-        self.hub, self.section, self.transport = hub, section, None
+    def __init__(self, coordinator, section):
+        self.coordinator, self.section, self.transport = coordinator, section, None
         self.agent = Agent(
             roster_of(section),
             signer_of(section),
-            hub.station.seed,
+            coordinator.configuration.seed,
             int(time.time()),
-            hub.clock.now(),
+            coordinator.clock.now(),
             rate=section.rate,
         )
-        self.bridge = Bridge(hub.planner, hub.names)
-        self.next_status = self.next_told = hub.clock.now()
+        self.bridge = Bridge(coordinator.planner, coordinator.names)
+        self.next_status = self.next_told = coordinator.clock.now()
         self.claimed = self.armed = False
         self.unwritten = None  # why the status file could not be written, said once
 
@@ -66,7 +66,7 @@
             )
         except OSError as failure:
             raise MalformedError(f"gossip cannot listen on {host}:{port}: {failure.strerror}") from None
-        self.hub.log.info(
+        self.coordinator.log.info(
             "gossip_open", listen=f"{host}:{port}", members=len(self.agent.roster.members), life=self.agent.life
         )
         self.step()
@@ -75,7 +75,7 @@
         self.transport = transport
 
     def error_received(self, failure):
-        self.hub.count("gossip_unsent", detail=failure.strerror)
+        self.coordinator.log_aggregated("gossip_unsent", detail=failure.strerror)
 
     def send(self, datagrams):
         if self.transport and not self.transport.is_closing():
@@ -84,25 +84,25 @@
 
     def datagram_received(self, data, address):
         before = self.agent.refused.total()
-        self.send(self.agent.received(self.hub.clock.now(), time.time(), data, address[:2]))
+        self.send(self.agent.received(self.coordinator.clock.now(), time.time(), data, address[:2]))
         if self.agent.refused.total() > before:
-            self.hub.count("gossip_refused", detail=f"from {address[0]}:{address[1]}")
+            self.coordinator.log_aggregated("gossip_refused", detail=f"from {address[0]}:{address[1]}")
 
     def step(self):
         """All that is due, and the timer for what comes next."""
         if self.transport.is_closing():
             return
-        now = self.hub.clock.now()
-        self.agent.observe(now, self.bridge.misses())
+        now = self.coordinator.clock.now()
+        self.agent.observe(now, self.bridge.missing_answers())
         self.send(self.agent.tick(now, time.time()))
         self.tell(now)
         for event, who, what in self.agent.events:
-            self.hub.log.info(f"gossip_{event}", who=who, what=what)
+            self.coordinator.log.info(f"gossip_{event}", who=who, what=what)
         self.agent.events.clear()
         if now >= self.next_status:
             self.next_status = now + STATUS
             self.write_status(now)
-        self.hub.clock.at(max(self.agent.due(), now + 1000), self.step)
+        self.coordinator.clock.call_at(max(self.agent.due(), now + 1000), self.step)
 
     def tell(self, now):
         """What others miss goes to the planner: at once where it is new, then once a cycle."""
@@ -110,8 +110,8 @@
         if pooled and (now >= self.next_told or not self.claimed) or self.claimed and not pooled:
             self.next_told = now + TOLD
             self.claimed = bool(pooled)
-            for call in self.bridge.calls(pooled):
-                self.hub.told(call)
+            for call in self.bridge.events(pooled):
+                self.coordinator.queue_event(call)
 
     def write_status(self, now):
         """Replaced whole, so that who reads it never sees half of one. Its failing holds nothing else up."""
@@ -125,20 +125,20 @@
             self.unwritten = None
         except OSError as failure:
             if self.unwritten != failure.strerror:
-                self.hub.log.warning("gossip_no_status", path=str(path), says=failure.strerror)
+                self.coordinator.log.warning("gossip_no_status", path=str(path), says=failure.strerror)
             self.unwritten = failure.strerror
 
-    def follow(self, section):
+    def reload(self, section):
         """The operator's file anew: keys and roster change in service. Where it listens does not."""
         roster, signer = roster_of(section), signer_of(section)
-        self.agent.follow(roster, signer, self.hub.clock.now())
+        self.agent.update_roster(roster, signer, self.coordinator.clock.now())
         kept = [
             name for name in ("group", "listen", "me", "rate") if getattr(section, name) != getattr(self.section, name)
         ]
         self.section = section
-        self.hub.log.info("gossip_reloaded", members=len(roster.members), kept=",".join(kept) or None)
+        self.coordinator.log.info("gossip_reloaded", members=len(roster.members), kept=",".join(kept) or None)
 
     def close(self):
         if self.transport and not self.transport.is_closing():
-            self.send(self.agent.leave(self.hub.clock.now()))
+            self.send(self.agent.leave(self.coordinator.clock.now()))
             self.transport.close()
--- a/cranecleat/gossip/wire.py
+++ b/cranecleat/gossip/wire.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True)
-class Head:
+class Header:
     group: bytes
     sender: int
     receiver: int
@@ -117,7 +117,7 @@
     magic, version, *rest = HEAD.unpack_from(data)
     if (magic, version) != (MAGIC, VERSION):
         raise DatagramError(Refused.FORMAT)
-    return Head(*rest)
+    return Header(*rest)
 
 
 def read_body(data, head):
--- a/cranecleat/interface.py
+++ b/cranecleat/interface.py
@@ -32,32 +32,34 @@
     routes: tuple[Route, ...]
     zones: int
     coordinators: int
-    must_ask: bool  # the backend list has to be asked for
-    ask_within: int  # without an answer for this long, what was listed counts as known
+    must_watch: bool  # the backend list has to be asked for
+    watch_timeout: int  # without an answer for this long, what was listed counts as known
     admission: str  # "fraction", "per_second" or "silent"
     cycle: int  # reports are gathered this often
     backlog: int  # lines that may wait in the channel
-    pace: float  # lines a second that the channel sends, at its usual speed
-    head: float  # lines that a message costs beside its own
-    messages_most: int  # messages to one proxy within `messages_over`; 0: no limit
-    messages_over: int
+    channel_lines_per_second: float  # lines a second that the channel sends, at its usual speed
+    message_overhead: float  # lines that a message costs beside its own
+    message_limit: int  # messages to one proxy within `messages_over`; 0: no limit
+    message_limit_window: int
     grace: int  # drains are kept within this
-    cold: int  # a backend is warm this long after its start
-    cold_from: float  # and starts at this share of its capacity or more
+    warm_up_time: int  # a backend is warm this long after its start
+    cold_start_capacity: float  # and starts at this share of its capacity or more
     proxies: int = 0  # of the deployment
-    intake: float = 0.0  # lines of reports a second that get through; 0: not stated
-    tip: float = 3.0  # a cold backend that is sent this multiple of what it can do falls over
+    report_lines_per_second: float = 0.0  # lines of reports a second that get through; 0: not stated
+    cold_overload_multiple: float = 3.0  # a cold backend that is sent this multiple of what it can do falls over
 
 
 class Writer(Protocol):
     """Takes the planner's decisions in the order in which they are made."""
 
-    def line(self, table: int, backend: int, weight: float) -> None: ...
-    def bind(self, proxy: int, table: int, routes: Iterable[int], narrow: bool = False) -> None: ...  # of few lines
+    def set_weight(self, table: int, backend: int, weight: float) -> None: ...
+    def bind(self, proxy: int, table: int, routes: Iterable[int], is_subset: bool = False) -> None: ...  # of few lines
     def withdraw(self, backend: int, out: bool) -> None: ...
-    def admit(self, table: int | None, routes: Iterable[int], level: float, tries: int) -> None: ...
+    def set_admission(self, table: int | None, routes: Iterable[int], level: float, tries: int) -> None: ...
     def forget(self, backend: int) -> None: ...
-    def mark(self, number: int) -> Collection[int] | None: ...  # who gets a message of this round; None: all concerned
+    def request_ack(
+        self, number: int
+    ) -> Collection[int] | None: ...  # who gets a message of this round; None: all concerned
     def watch(self) -> None: ...
-    def wake(self, at: int, number: int) -> None: ...
+    def set_timer(self, at: int, number: int) -> None: ...
     def log(self, text: str) -> None: ...
--- a/cranecleat/memory/streams.py
+++ b/cranecleat/memory/streams.py
@@ -4,13 +4,13 @@
 until `messages` and go out as what has to change at each proxy, the same bytes made once for many of them.
 """
 
-from cranecleat.protocol.lines import assign, join
+from cranecleat.protocol.lines import encode_assign, join_lines
 
 
 class Stream:
     def __init__(self, connection, typical, ever, brought, place):
         self.connection, self.typical = connection, typical  # its calls a second, as it said
-        self.place, self.narrow = place, False  # in the order of joining, in which messages go out; see `bind`
+        self.place, self.is_subset = place, False  # in the order of joining, in which messages go out; see `bind`
         self.bound = {}  # route -> table
         self.shut, self.ever = set(), ever  # backends shut out on this stream, and on any of the proxy's
         self.brought = brought  # those that it may still shut out from earlier ones
@@ -19,12 +19,12 @@
 class Streams:
     """The planner's `Writer`."""
 
-    def __init__(self, names, routes, wake, watch, log):
+    def __init__(self, names, routes, set_timer, watch, log):
         self.names, self.routes = names, routes  # backends' names; routes' names
-        self.wake, self.watch, self.log = wake, watch, log
+        self.set_timer, self.watch, self.log = set_timer, watch, log
         self.places, self.users = 0, {}  # streams so far; table -> proxies with a route bound to it
         self.joined, self.ever = {}, {}  # proxy -> stream; proxy -> backends that it was ever told to shut out
-        self.tables, self.out = {}, set()  # table -> {backend: weight}; backends withdrawn
+        self.tables, self.withdrawn = {}, set()  # table -> {backend: weight}; backends withdrawn
         self.left = set()  # backends that may have been withdrawn elsewhere and run again: see `listed`
         self.levels = {}  # (table or None for all, route) -> (level, tries)
         self.clear()
@@ -32,18 +32,18 @@
     def clear(self):
         """Forgets what this round has changed."""
         self.lines, self.fresh, self.moved, self.admitted = {}, {}, set(), set()
-        self.stamp, self.ready, self.made, self.held = None, [], {}, {}
+        self.ack_number, self.ready, self.made, self.held = None, [], {}, {}
 
     # Who is joined
 
-    def listed(self, scope, entries):
+    def backends_listed(self, scope, entries):
         """Which backends a proxy may bring shut out by another coordinator: those that have ever left, as seen here,
         and of the list that was held at the start those that have been restarted, which may have been before it."""
         if scope == "whole":
             self.left.update(set(self.names.index.values()).difference(b for b, *_ in entries))
         self.left.update(b for b, state, *_, started in entries if state != "running" or scope == "held" and started)
 
-    def typical(self):
+    def typical_rate(self):
         return sum(stream.typical for stream in self.joined.values())
 
     def join(self, proxy, connection, typical, standing):
@@ -57,7 +57,7 @@
         self.places += 1
         self.joined.pop(proxy, None)  # it is the last to have joined
         self.joined[proxy] = Stream(connection, typical, ever, brought, self.places)
-        return old, len(brought - self.out)  # what is withdrawn here is not let back
+        return old, len(brought - self.withdrawn)  # what is withdrawn here is not let back
 
     def leave(self, proxy, connection):
         """Whether that was the proxy's stream: the end of one that was replaced means nothing."""
@@ -74,17 +74,17 @@
 
     # What the planner decides
 
-    def line(self, table, backend, weight):
+    def set_weight(self, table, backend, weight):
         lines = self.tables.setdefault(table, {})
         lines[backend] = weight
         if not weight:
             del lines[backend]
         self.lines.setdefault(table, {})[backend] = weight
 
-    def bind(self, proxy, table, routes, narrow=False):
+    def bind(self, proxy, table, routes, is_subset=False):
         """`narrow`: what the proxy brings shut out is let back where a table names it, not all at once."""
         if proxy in self.joined:
-            self.joined[proxy].narrow, bound = narrow, self.joined[proxy].bound
+            self.joined[proxy].is_subset, bound = is_subset, self.joined[proxy].bound
             for route in routes:
                 before, bound[route] = bound.get(route), table
                 if before is not None and before not in bound.values():
@@ -93,25 +93,25 @@
                 self.fresh.setdefault(proxy, set()).add(route)
 
     def withdraw(self, backend, out):
-        (self.out.add if out else self.out.discard)(backend)
+        (self.withdrawn.add if out else self.withdrawn.discard)(backend)
         self.moved.add(backend)
 
     def forget(self, backend):
         """No table names it and no proxy is told of it any more: its name and its index are free."""
-        self.out.discard(backend)
+        self.withdrawn.discard(backend)
         self.left.discard(backend)
         for told in (*self.ever.values(), *(held for s in self.joined.values() for held in (s.shut, s.brought))):
             told.discard(backend)
         self.names.forget(backend)
 
-    def admit(self, table, routes, level, tries):
+    def set_admission(self, table, routes, level, tries):
         for route in routes:
             self.levels[table, route] = level, tries
             self.admitted.add((table, route))
 
-    def mark(self, number):
+    def request_ack(self, number):
         """Comes last in a round. Returns who gets a message: a proxy that knows all of it already gets none."""
-        self.stamp = number
+        self.ack_number = number
         self.ready = list(self.written())
         return {proxy for proxy, *_ in self.ready}
 
@@ -119,19 +119,19 @@
 
     def messages(self):
         """The round's messages as (connection, bytes), at most one a proxy."""
-        ready = list(self.written()) if self.stamp is None else self.ready
+        ready = list(self.written()) if self.ack_number is None else self.ready
         self.clear()
         return [message for _, *message in ready]
 
     def written(self):
-        self.shuts = bool(self.moved) or any(b in self.out for lines in self.lines.values() for b in lines)
+        self.shuts = bool(self.moved) or any(b in self.withdrawn for lines in self.lines.values() for b in lines)
         for proxy in self.concerned():
             stream = self.joined[proxy]
             parts = self.parts(stream, self.fresh.get(proxy, ()))
             if parts:
-                if self.stamp is not None:
-                    parts.append(self.once(assign, stamp=self.stamp))
-                yield proxy, stream.connection, self.once(join, tuple(parts))
+                if self.ack_number is not None:
+                    parts.append(self.once(encode_assign, stamp=self.ack_number))
+                yield proxy, stream.connection, self.once(join_lines, tuple(parts))
 
     def concerned(self):
         """Whom this round may have something for, in the order of joining: all, or users of what has changed."""
@@ -161,14 +161,16 @@
             table = stream.bound.get(route)
             if route in fresh or {(None, route), (table, route)} & self.admitted:
                 levels.setdefault(self.level(table, route), []).append(route)
-        parts += [self.once(assign, self.named(routes), level=level) for level, routes in levels.items() if level]
-        told = stream.narrow and (stream.shut or stream.brought)
+        parts += [
+            self.once(encode_assign, self.named(routes), level=level) for level, routes in levels.items() if level
+        ]
+        told = stream.is_subset and (stream.shut or stream.brought)
         changed = self.shuts or told and not self.lines.keys().isdisjoint(stream.bound.values())
         return parts + (self.shutting(stream, bool(fresh)) if fresh or changed else [])
 
     def rows(self, table, routes, new):
         lines = self.tables.get(table, {}) if new else self.lines[table]
-        return assign(self.named(routes), new, tuple((self.names.ids[b], w) for b, w in lines.items()))
+        return encode_assign(self.named(routes), new, tuple((self.names.ids[b], w) for b, w in lines.items()))
 
     def named(self, routes):
         return tuple(self.routes[route] for route in routes)
@@ -185,18 +187,18 @@
             self.held[tables] = {b for table in tables for b in self.tables.get(table, ())}
         held = self.held[tables]
         loose = len(stream.bound) < len(self.routes)  # for some routes its lines are not known
-        out = sorted(b for b in self.out - stream.shut if b in held or loose and b in self.moved)
+        out = sorted(b for b in self.withdrawn - stream.shut if b in held or loose and b in self.moved)
         back = sorted(
             b
-            for b in (stream.shut | stream.brought) - self.out
-            if (b in held or loose and b in self.moved if stream.narrow else bound or b in self.moved)
+            for b in (stream.shut | stream.brought) - self.withdrawn
+            if (b in held or loose and b in self.moved if stream.is_subset else bound or b in self.moved)
         )
         stream.shut.update(out)
         stream.ever.update(out)
         stream.shut.difference_update(back)
         stream.brought.difference_update(back)
         return [
-            self.once(assign, **{word: tuple(self.names.ids[b] for b in which)})
+            self.once(encode_assign, **{word: tuple(self.names.ids[b] for b in which)})
             for word, which in (("drop", out), ("undrop", back))
             if which
         ]
--- a/cranecleat/operator/file.py
+++ b/cranecleat/operator/file.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gossip:
+class GossipSettings:
     me: str
     group: str
     listen: tuple[str, int]
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Files:
+class FilesSettings:
     folder: Path
     sync: str  # one of disk.SYNCS
     poll: int  # microseconds from one look at what comes back to the next
@@ -37,11 +37,11 @@
     """What the operator's file says; a section that is not there is None, and what it switches on is off."""
 
     path: Path
-    gossip: Gossip | None = None
-    files: Files | None = None
+    gossip: GossipSettings | None = None
+    files: FilesSettings | None = None
 
 
-def read(path, me=None):
+def read_operator_file(path, me=None):
     """The operator's file at `path` for the coordinator `me` (None: any, for checks). Raises DocumentError."""
     path = Path(path)
     try:
@@ -68,29 +68,33 @@
 
 
 def files_of(reader, node, folder):
-    from cranecleat.files.choice import HOLD, LOSE
-    from cranecleat.files.disk import SYNCS
+    from cranecleat.files.choice import STREAM_LOST_AFTER_US, STREAM_STABLE_AFTER_US
+    from cranecleat.files.disk import SYNC_MODES
 
     def sync(value):
-        if value not in SYNCS:
+        if value not in SYNC_MODES:
             raise ValueError("no way of syncing")
         return value
 
     reader.known(node, node.children, FILES, "'files'")
     place = reader.value(reader.one(node, "folder"), text, "the path of a folder")
-    how = reader.value(reader.one(node, "sync", needed=False), sync, "one of " + ", ".join(SYNCS))
-    spans = {"poll": (POLL, 10_000, 10_000_000), "lose": (LOSE, 100_000, 60_000_000), "hold": (HOLD, 0, 3_600_000_000)}
+    how = reader.value(reader.one(node, "sync", needed=False), sync, "one of " + ", ".join(SYNC_MODES))
+    spans = {
+        "poll": (POLL, 10_000, 10_000_000),
+        "lose": (STREAM_LOST_AFTER_US, 100_000, 60_000_000),
+        "hold": (STREAM_STABLE_AFTER_US, 0, 3_600_000_000),
+    }
     for called, (usual, least, most) in spans.items():
         line = reader.one(node, called, needed=False)
         told = reader.value(line, span, 'a time, such as "500ms"')
         if told is not None and not least <= told <= most:
             reader.wrong(line, f"{called} of {told / 1e6:g} s", f"it may be from {least / 1e6:g} to {most / 1e6:g} s")
         spans[called] = usual if told is None else told
-    return None if reader.mistakes else Files(folder / place, how or "data", **spans)
+    return None if reader.mistakes else FilesSettings(folder / place, how or "data", **spans)
 
 
 def gossip_of(reader, node, folder, me):
-    from cranecleat.gossip.agent import RATE
+    from cranecleat.gossip.agent import DEFAULT_BYTES_PER_SECOND
     from cranecleat.gossip.keys import decode
     from cranecleat.gossip.roster import Member, Roster, RosterError
 
@@ -137,12 +141,12 @@
         )
     if reader.mistakes:
         return None
-    return Gossip(
+    return GossipSettings(
         me,
         group,
         listen,
         folder / key,
-        rate or RATE,
+        rate or DEFAULT_BYTES_PER_SECOND,
         folder / status if status else None,
         tuple(member for _, member in members),
     )
--- a/cranecleat/protocol/connections.py
+++ b/cranecleat/protocol/connections.py
@@ -4,8 +4,8 @@
 import errno
 import socket
 
-from cranecleat.decoding import MICRO
-from cranecleat.memory.pool import HalfRead, PoolExhaustedError
+from cranecleat.decoding import US_PER_SECOND
+from cranecleat.memory.pool import PoolExhaustedError, ReceiveBuffer
 from cranecleat.protocol import lines
 from cranecleat.protocol.limits import AT_ONCE, BACKLOG, BUFFER, MESSAGE, PAUSE, UNREAD
 from cranecleat.protocol.reasons import InvalidMessageError, ProtocolError, Reason
@@ -17,8 +17,8 @@
     """Takes who dials in, a few a turn: hundreds at once neither hold the loop up nor use up the descriptors before
     one of them can be ended."""
 
-    def __init__(self, hub, where):
-        self.hub, self.loop = hub, asyncio.get_running_loop()
+    def __init__(self, coordinator, where):
+        self.coordinator, self.loop = coordinator, asyncio.get_running_loop()
         self.coming = set()  # those that were taken and have no protocol yet
         family = socket.AF_INET6 if ":" in where[0] else socket.AF_INET
         self.socket = socket.create_server(where, family=family, backlog=BACKLOG)
@@ -33,14 +33,14 @@
         try:
             for _ in range(AT_ONCE):
                 taken, _ = self.socket.accept()
-                coming = self.loop.create_task(self.loop.connect_accepted_socket(self.hub.accept, taken))
+                coming = self.loop.create_task(self.loop.connect_accepted_socket(self.coordinator.accept, taken))
                 self.coming.add(coming)
                 coming.add_done_callback(self.coming.discard)
         except OSError as failure:  # nobody waits any more, or who waited has gone
-            if failure.errno in NO_ROOM and not self.hub.drop_stranger(failure.strerror):
-                self.hub.count("no_descriptor", says=failure.strerror)
+            if failure.errno in NO_ROOM and not self.coordinator.drop_stranger(failure.strerror):
+                self.coordinator.log_aggregated("no_descriptor", says=failure.strerror)
                 self.loop.remove_reader(self.socket)  # it would be called without end
-                self.hub.clock.at(self.hub.clock.now() + PAUSE, self.open)
+                self.coordinator.clock.call_at(self.coordinator.clock.now() + PAUSE, self.open)
 
     def close(self):
         self.loop.remove_reader(self.socket)
@@ -57,39 +57,39 @@
     most = MESSAGE + 2 * BUFFER  # unread bytes
     end_mark = None  # without it in what has just come there is nothing new to use
 
-    def __init__(self, hub):
-        self.hub, self.half, self.transport = hub, HalfRead(hub.pool), None
+    def __init__(self, coordinator):
+        self.coordinator, self.half, self.transport = coordinator, ReceiveBuffer(coordinator.pool), None
         self.reason = self.detail = None
         self.spoilt = 0  # messages that could not be used
-        self.opened = hub.clock.now()
+        self.opened = coordinator.clock.now()
         self.heard = self.opened  # when it last said something
 
     def connection_made(self, transport):
         self.transport = transport
-        self.hub.connections.add(self)
-        if self.hub.stopping:
+        self.coordinator.connections.add(self)
+        if self.coordinator.stopping:
             self.end(Reason.STOPPING)
 
     def get_buffer(self, hint):
         try:
-            return self.half.room()
+            return self.half.writable()
         except PoolExhaustedError:
-            if self.hub.free_buffers(self):
-                return self.half.room()
+            if self.coordinator.free_buffers(self):
+                return self.half.writable()
             return bytearray(BUFFER)  # it has been ended itself
 
     def buffer_updated(self, count):
         if self.reason:
             return
         self.half.filled += count
-        self.heard = self.hub.clock.now()
+        self.heard = self.coordinator.clock.now()
         try:
-            if self.end_mark is None or self.end_mark in self.half.fresh(count):
+            if self.end_mark is None or self.end_mark in self.half.last_received(count):
                 data = self.half.unread()
                 used = self.use(data)
                 if self.reason:
                     return
-                self.half.keep(data[used:])
+                self.half.retain(data[used:])
             self.check()
             if self.half.filled > self.most:
                 raise ProtocolError(Reason.TOO_LONG, f"{self.half.filled} bytes without an end")
@@ -120,15 +120,15 @@
         self.transport.abort()
 
     def release(self):
-        self.half.keep(b"")
-        self.hub.connections.discard(self)
+        self.half.retain(b"")
+        self.coordinator.connections.discard(self)
 
     def connection_lost(self, failure):
         if self.reason is None:
             self.reason, self.detail = (Reason.RESET, str(failure)) if failure else (Reason.CLOSED, None)
         self.release()
-        lasted = round((self.hub.clock.now() - self.opened) / MICRO, 3)
-        self.hub.log.info(
+        lasted = round((self.coordinator.clock.now() - self.opened) / US_PER_SECOND, 3)
+        self.coordinator.log.info(
             "connection_ended",
             code=self.reason.value,
             **self.who(),
@@ -143,17 +143,17 @@
 
     end_mark = lines.END[-1:]
 
-    def __init__(self, hub):
-        super().__init__(hub)
-        self.number, self.use_message = None, self.greet
+    def __init__(self, coordinator):
+        super().__init__(coordinator)
+        self.proxy, self.use_message = None, self.greet
 
     @property
     def stranger(self):
         return self.use_message == self.greet
 
     def who(self):
-        if self.number is not None:
-            return {"who": "proxy", "proxy": self.number}
+        if self.proxy is not None:
+            return {"who": "proxy", "proxy": self.proxy}
         return {"who": "stranger" if self.stranger else "collector"}
 
     @property
@@ -163,65 +163,67 @@
     def connection_made(self, transport):
         super().connection_made(transport)
         if not self.reason:
-            self.hub.came(self)
+            self.coordinator.came(self)
 
     def release(self):
         super().release()
-        self.hub.strangers.pop(self, None)
-        self.hub.collectors.discard(self)
+        self.coordinator.strangers.pop(self, None)
+        self.coordinator.collectors.discard(self)
 
     def connection_lost(self, failure):
         super().connection_lost(failure)
-        self.hub.lost(self)
+        self.coordinator.lost(self)
 
     def use(self, data):
-        found, used = lines.split(data)
+        found, used = lines.split_lines(data)
         for line in found:
             if len(line) > MESSAGE:
                 raise ProtocolError(Reason.TOO_LONG, f"a message of {len(line)} bytes")
             try:
-                kind, values = lines.parse(line)
+                kind, values = lines.parse_line(line)
                 if kind == "hb":
                     self.write(b"hb_ok\r\n")
                 else:
-                    self.use_message(lines.Words(kind, values))
+                    self.use_message(lines.Message(kind, values))
             except InvalidMessageError as wrong:
                 if self.stranger:
                     raise
                 self.spoilt += 1
-                self.hub.count("spoilt", who=self.who()["who"], code=wrong.reason.value, detail=str(wrong))
+                self.coordinator.log_aggregated(
+                    "spoilt", who=self.who()["who"], code=wrong.reason.value, detail=str(wrong)
+                )
             if self.reason:
                 break
         return used
 
     def check(self):
-        lines.begun(self.half.head(lines.TELLING))
+        lines.check_prefix(self.half.peek(lines.TELLING))
 
     def greet(self, words):
         if words.kind == "telemetry":
-            self.hub.reader.telemetry(words)
+            self.coordinator.reader.telemetry(words)
             self.use_message = self.collect
-            self.hub.collects(self)
+            self.coordinator.collects(self)
         elif words.kind == "attach":
-            number, zone, typical, standing = self.hub.reader.attach(words)
-            self.number, self.use_message = number, self.stream
-            self.hub.joined(self, zone, typical, standing)
+            number, zone, typical, standing = self.coordinator.reader.attach(words)
+            self.proxy, self.use_message = number, self.stream
+            self.coordinator.joined(self, zone, typical, standing)
         else:
             raise ProtocolError(Reason.OUT_OF_PLACE, f"{words.kind} before it said what it is")
 
     def collect(self, words):
         if words.kind == "telemetry":
-            self.hub.reader.telemetry(words)
+            self.coordinator.reader.telemetry(words)
         elif words.kind in ("client_stats", "upstream_stats"):
-            self.hub.told(getattr(self.hub.reader, words.kind)(words))
+            self.coordinator.queue_event(getattr(self.coordinator.reader, words.kind)(words))
         else:
             raise InvalidMessageError(Reason.OUT_OF_PLACE, f"{words.kind} from a collector")
 
     def stream(self, words):
         if words.kind not in ("done", "client_stats"):
             raise InvalidMessageError(Reason.OUT_OF_PLACE, f"{words.kind} on a stream")
-        if self.hub.reader.proxy(words) != self.number:
+        if self.coordinator.reader.proxy(words) != self.proxy:
             raise InvalidMessageError(Reason.OUT_OF_PLACE, f"{words.kind} for another proxy")
-        call = getattr(self.hub.reader, words.kind)(words)
-        if not self.hub.waits(self):
-            self.hub.told(call)
+        call = getattr(self.coordinator.reader, words.kind)(words)
+        if not self.coordinator.waits(self):
+            self.coordinator.queue_event(call)
--- a/cranecleat/protocol/http.py
+++ b/cranecleat/protocol/http.py
@@ -2,7 +2,7 @@
 
 import re
 
-from cranecleat.protocol.limits import HEAD
+from cranecleat.protocol.limits import MAX_HTTP_HEAD_BYTES
 from cranecleat.protocol.reasons import ProtocolError, Reason
 
 END = b"\r\n"
@@ -20,22 +20,22 @@
     return ProtocolError(Reason.BAD_ANSWER, text)
 
 
-class Answer:
+class ResponseParser:
     """One answer. `take` is given all that is unread and returns pieces of the body and the bytes used."""
 
     def __init__(self):
-        self.step, self.left, self.ended = self.head, 0, False
+        self.step, self.left, self.complete = self.head, 0, False
 
-    def take(self, data):
+    def feed(self, data):
         pieces, used = [], 0
-        while not self.ended and (taken := self.step(data, used, pieces)):
+        while not self.complete and (taken := self.step(data, used, pieces)):
             used += taken
         return pieces, used
 
     def line(self, data, start, what, end=END):
         """The bytes up to `end`, or None while it has not come."""
         stop = data.find(end, start)
-        if (stop if stop >= 0 else len(data)) - start > HEAD:
+        if (stop if stop >= 0 else len(data)) - start > MAX_HTTP_HEAD_BYTES:
             raise bad(f"{what} is too long")
         return data[start:stop] if stop >= 0 else None
 
@@ -67,7 +67,7 @@
             if len(set(length)) > 1 or not LENGTH.fullmatch(length[0]):
                 raise bad("a content length that is none")
             self.step, self.left = self.body_of_length, int(length[0])
-            self.ended = not self.left
+            self.complete = not self.left
         else:
             self.step = self.body_to_end
         return taken
@@ -81,7 +81,7 @@
 
     def body_of_length(self, data, start, pieces):
         taken = self.part(data, start, pieces)
-        self.ended = not self.left
+        self.complete = not self.left
         return taken
 
     def body_to_end(self, data, start, pieces):
@@ -117,5 +117,5 @@
         text = self.line(data, start, "a trailer")
         if text is None:
             return 0
-        self.ended = not text
+        self.complete = not text
         return len(text) + len(END)
--- a/cranecleat/protocol/lines.py
+++ b/cranecleat/protocol/lines.py
@@ -2,7 +2,7 @@
 
 import re
 
-from cranecleat.decoding import MICRO, MILLI
+from cranecleat.decoding import US_PER_MS, US_PER_SECOND
 from cranecleat.protocol.limits import COVERED, LARGEST, LATENESS, LOADED, MESSAGE, PARTS, SURGE
 from cranecleat.protocol.reasons import InvalidMessageError, ProtocolError, Reason
 
@@ -15,7 +15,7 @@
 BUSY, SERVED = ("utilization", "util"), ("throughput", "qps")  # a load report's words, as met and as documented
 
 
-def split(data):
+def split_lines(data):
     """The complete lines in `data`, and how many bytes they take."""
     used = data.rfind(END) + len(END)
     if used < len(END):
@@ -23,7 +23,7 @@
     return data[: used - len(END)].split(END), used
 
 
-def parse(line):
+def parse_line(line):
     """One line as its kind and its words. What begins as a message is one, and spoilt by itself where it cannot be
     used; anything else shows that the data is no longer messages."""
     if line and not START.match(line):
@@ -45,13 +45,13 @@
     return kind, values
 
 
-def begun(rest):
+def check_prefix(rest):
     """What has come of the next message must be able to become one, or its end might be waited for in vain."""
     if rest and not START.match(rest) and not any(kind.encode().startswith(rest) for kind in KINDS):
         raise ProtocolError(Reason.UNREADABLE, f"no kind of message: {rest[:40]!r}")
 
 
-class Words:
+class Message:
     """The words of one message, read by name; each reader says what is wrong with its word."""
 
     def __init__(self, kind, values):
@@ -78,7 +78,7 @@
 
     def time(self, name, least=0, most=LARGEST):
         """In microseconds, as `least` and `most` are."""
-        time = round(self.figure(name) * MILLI)
+        time = round(self.figure(name) * US_PER_MS)
         if not least <= time <= most:
             raise self.bad(name)
         return time
@@ -107,7 +107,7 @@
         return None if busy is None or served is None else (busy, served)
 
 
-class Reader:
+class MessageDecoder:
     """Messages as calls of the planner, for one deployment. A figure can be readable and still absurd: what no
     deployment could have met is spoilt as well, as one such report would move what was learned for a long time."""
 
@@ -115,7 +115,7 @@
         self.zones, self.routes = zones, routes  # name -> index
         self.proxies, self.backends = proxies, backends  # how many there are; the names that were listed
         self.longest, self.patience = cycle * COVERED, patience * LATENESS  # interval and answer
-        self.typical = 0.0  # calls a second of all that are joined, as they said
+        self.typical_rate = 0.0  # calls a second of all that are joined, as they said
 
     def proxy(self, words):
         number = words.whole("node")
@@ -131,16 +131,16 @@
 
     def done(self, words):
         words.time("latency")
-        return ("applied", self.proxy(words), words.whole("nonce"))
+        return ("acknowledged", self.proxy(words), words.whole("nonce"))
 
     def client_stats(self, words):
         words.whole("errors")  # may be of calls that came earlier
-        return ("came", self.proxy(words), words.among("route", self.routes), *self.total(words))
+        return ("demand_reported", self.proxy(words), words.among("route", self.routes), *self.total(words))
 
     def total(self, words):
         """How many in how long. All calls may come to one proxy and again, but no more than that."""
         total, covers = words.whole("total"), words.time("interval", 1, self.longest)
-        if total > SURGE * (1.0 + self.typical * max(covers / MICRO, 1.0)):
+        if total > SURGE * (1.0 + self.typical_rate * max(covers / US_PER_SECOND, 1.0)):
             raise words.bad("total")
         return total, covers
 
@@ -149,7 +149,7 @@
         zone, backend = words.among("locality", self.zones), self.backends.index.get(words.text("endpoint"))
         total, covers = self.total(words)
         call = (
-            "met",
+            "attempts_reported",
             backend,
             zone,
             total,
@@ -161,7 +161,7 @@
         return None if backend is None else call
 
 
-def assign(routes=(), replace=False, rows=(), level=None, drop=(), undrop=(), stamp=None):
+def encode_assign(routes=(), replace=False, rows=(), level=None, drop=(), undrop=(), stamp=None):
     """One line of orders, without its end; `join` makes a message of several."""
     words = ["assign"]
     if routes:
@@ -181,7 +181,7 @@
     return " ".join(words).encode()
 
 
-def join(parts):
+def join_lines(parts):
     """Lines of orders as one message, as long as one may be."""
     message = b" part=1\r\n".join(parts) + END
     if len(parts) > PARTS or len(message) > MESSAGE:
--- a/cranecleat/protocol/registry.py
+++ b/cranecleat/protocol/registry.py
@@ -5,7 +5,7 @@
 import re
 import zlib
 
-from cranecleat.decoding import MICRO, MILLI
+from cranecleat.decoding import US_PER_MS, US_PER_SECOND
 from cranecleat.protocol import http
 from cranecleat.protocol.connections import Connection
 from cranecleat.protocol.limits import DIAL, FIRST_WAIT, LAG, LIST, LONGEST_WAIT, PROMPT, QUIET
@@ -24,7 +24,14 @@
             raise ProtocolError(Reason.BAD_LIST, f"a name that no order can hold: {name!r:.60}")
         if not 0 <= started <= 1e15 or not 0 <= size <= 1e9:
             raise ProtocolError(Reason.BAD_LIST, f"{name}: a figure out of range")
-        return (name, STATES[state], zones[target["az"]], kinds[target["model"]], float(size), round(started * MILLI))
+        return (
+            name,
+            STATES[state],
+            zones[target["az"]],
+            kinds[target["model"]],
+            float(size),
+            round(started * US_PER_MS),
+        )
     except ProtocolError:
         raise
     except KeyError as missing:
@@ -33,7 +40,7 @@
         raise ProtocolError(Reason.BAD_LIST, f"no entry of a list: {wrong}") from None
 
 
-def decode(entry, zones, kinds):
+def decode_list(entry, zones, kinds):
     """A list, or changes of it, as version, scope, entries, and what is wrong with the others: each costs only
     itself. Their names, where those can be read, or None -> why."""
     if not isinstance(entry, dict) or not isinstance(entry.get("targets"), list) or "all" not in entry:
@@ -50,19 +57,19 @@
     return version, "whole" if entry["all"] else "changes", records, wrong
 
 
-class Lines:
+class LineSplitter:
     """The body of a watch: pieces in, whole lines out."""
 
     def __init__(self):
         self.half = b""
 
-    def take(self, piece):
+    def feed(self, piece):
         *whole, self.half = (self.half + piece).split(b"\n")
         if len(self.half) > LIST:
             raise ProtocolError(Reason.TOO_LONG, "an entry of the watch without an end")
         return whole
 
-    def rest(self):
+    def flush(self):
         """A body may end without a last line break."""
         last, self.half = self.half, b""
         return [last]
@@ -71,9 +78,9 @@
 class Watch(Connection):
     """One connection to discovery, from its dial to its end."""
 
-    def __init__(self, hub, registry):
-        super().__init__(hub)
-        self.registry, self.answer, self.lines = registry, http.Answer(), Lines()
+    def __init__(self, coordinator, registry):
+        super().__init__(coordinator)
+        self.registry, self.answer, self.lines = registry, http.ResponseParser(), LineSplitter()
         self.address, self.move = registry.address, registry.moves
         self.begun, self.whole = False, self.opened  # whether it has said anything; when its last whole line came
 
@@ -89,16 +96,16 @@
 
     def use(self, data):
         self.begun = True
-        pieces, used = self.answer.take(data)
-        found = [line for piece in pieces for line in self.lines.take(piece)]
-        if self.answer.ended:
-            found += self.lines.rest()
+        pieces, used = self.answer.feed(data)
+        found = [line for piece in pieces for line in self.lines.feed(piece)]
+        if self.answer.complete:
+            found += self.lines.flush()
         for line in found:
             if line.strip():
                 self.registry.heard(line)
             self.whole = self.heard
             self.registry.alive(self)
-        if self.answer.ended:
+        if self.answer.complete:
             self.end(Reason.CLOSED, "the watch has ended")
         return used
 
@@ -110,10 +117,10 @@
             return
         line = self.whole + min(QUIET << min(self.registry.failures, 10), LAG)
         due = min(self.heard + QUIET, line) if self.begun else self.opened + PROMPT
-        if self.hub.clock.now() >= due:
+        if self.coordinator.clock.now() >= due:
             self.end(Reason.SILENT, "no pulse")
         else:
-            self.hub.clock.at(due, self.look)
+            self.coordinator.clock.call_at(due, self.look)
 
     def connection_lost(self, failure):
         super().connection_lost(failure)
@@ -124,11 +131,11 @@
     """Keeps one watch up, and hands on what it brings. After a move to another address the old watch stays until the
     new one speaks, so that no change falls between them; what the old one does from then on starts nothing."""
 
-    def __init__(self, hub, address, version, seed):
-        self.hub, self.address, self.version, self.seed = hub, address, version, seed
+    def __init__(self, coordinator, address, version, seed):
+        self.coordinator, self.address, self.version, self.seed = coordinator, address, version, seed
         self.moves, self.watches = 0, set()
         self.failures, self.draws, self.dialling, self.due = 0, 0, None, False
-        self.reached = hub.clock.now()  # when the version was
+        self.reached = coordinator.clock.now()  # when the version was
 
     def follow(self, address):
         if address == self.address:
@@ -140,16 +147,16 @@
 
     def dial(self, move=0):
         """One that fell due for an address that has been left comes to nothing."""
-        if not self.hub.stopping and move == self.moves:
+        if not self.coordinator.stopping and move == self.moves:
             self.due, self.dialling = False, asyncio.ensure_future(self.connect())
 
     async def connect(self):
         move = self.moves
         try:
-            async with asyncio.timeout(DIAL / MICRO):
-                await asyncio.get_running_loop().create_connection(lambda: Watch(self.hub, self), *self.address)
+            async with asyncio.timeout(DIAL / US_PER_SECOND):
+                await asyncio.get_running_loop().create_connection(lambda: Watch(self.coordinator, self), *self.address)
         except Exception as failure:  # also one that takes too long, or a name that no look-up takes
-            self.hub.log.info(
+            self.coordinator.log.info(
                 "connection_ended",
                 code=Reason.REFUSED.value,
                 who="discovery",
@@ -164,7 +171,9 @@
         self.due, self.failures, self.draws = True, self.failures + 1, self.draws + 1
         wait = min(FIRST_WAIT << min(self.failures, 10), LONGEST_WAIT)
         chance = zlib.crc32(f"{self.seed}:dial:{self.draws}".encode()) / 2**32
-        self.hub.clock.at(self.hub.clock.now() + int(wait * (1 + chance) / 2), lambda: self.dial(move))
+        self.coordinator.clock.call_at(
+            self.coordinator.clock.now() + int(wait * (1 + chance) / 2), lambda: self.dial(move)
+        )
 
     def stop(self):
         if self.dialling:
@@ -191,8 +200,8 @@
             entry = json.loads(line)
         except (ValueError, RecursionError) as wrong:
             raise ProtocolError(Reason.BAD_LIST, f"no JSON: {wrong}") from None
-        version, scope, entries, wrong = decode(entry, self.hub.reader.zones, self.hub.kinds)
-        now = self.hub.clock.now()
+        version, scope, entries, wrong = decode_list(entry, self.coordinator.reader.zones, self.coordinator.kinds)
+        now = self.coordinator.clock.now()
         if version < self.version:
             before, lags = self.version, now - self.reached < LAG
             if lags and scope == "changes":
@@ -203,5 +212,5 @@
                 raise ProtocolError(
                     Reason.BAD_LIST, f"version {version} after {before}{'' if lags else ', counted anew'}"
                 )
-        self.hub.listed(scope, entries, wrong)
+        self.coordinator.listed(scope, entries, wrong)
         self.version, self.reached = version, now
--- a/cranecleat/rehearsal/day.py
+++ b/cranecleat/rehearsal/day.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from cranecleat.files.choice import LOSE
-from cranecleat.files.front import Both
-from cranecleat.gossip.agent import RATE, Agent
+from cranecleat.files.choice import STREAM_LOST_AFTER_US
+from cranecleat.files.front import CombinedWriter
+from cranecleat.gossip.agent import DEFAULT_BYTES_PER_SECOND, Agent
 from cranecleat.gossip.bridge import Bridge
 from cranecleat.gossip.roster import Member, Roster
 from cranecleat.interface import Bootstrap, Route
@@ -82,15 +82,15 @@
         self.arrivals, self.waiting, self.due = [], False, {}  # line of a report -> since when, and its sums
         self.ids = {b.index: f"s-{b.index}" for b in day.fleet}
         self.planner = Planner(day.boot, f"{day.s.seed}:{number}")
-        self.channel = Channel(day.world, 4000.0, day.boot.head, day.boot.backlog, self.told)
+        self.channel = Channel(day.world, 4000.0, day.boot.message_overhead, day.boot.backlog, self.told)
         self.folder = Folder(day.world, self, tuple(f"r{i}" for i in range(len(day.s.works))), self.told, number)
-        self.writer = Both(self.channel, self.folder)
+        self.writer = CombinedWriter(self.channel, self.folder)
         self.record = day.record(number) if day.record else None  # takes a round's calls and decisions
         if self.record:
             self.writer = self.record.writer(self.writer)
         self.agent = self.bridge = None
         self.shut = {}  # backend -> when it was shut out
-        self.told(("listed", "whole", [self.entry(b) for b in day.fleet]))
+        self.told(("backends_listed", "whole", [self.entry(b) for b in day.fleet]))
 
     def entry(self, b):
         return b.index, b.listed, b.zone, 0, b.cores * 0.5, b.started
@@ -109,7 +109,7 @@
         self.channel.flush()
         self.folder.flush()
         self.day.audit.channel(self.channel, self.name)
-        shut = {b for b, x in self.planner.backends.items() if x.shut}
+        shut = {b for b, x in self.planner.backends.items() if x.ejected}
         for b in shut - self.shut.keys():
             self.shut[b] = self.day.world.now
             self.day.shut_out(self, b)
@@ -124,16 +124,16 @@
         day, now = self.day, self.day.world.now
         for proxy in self.joined():
             for route, calls in proxy.came.items():
-                self.due.setdefault(("came", proxy.number, route), [now - SECOND, 0])[1] += calls
+                self.due.setdefault(("demand_reported", proxy.number, route), [now - SECOND, 0])[1] += calls
             for b, met in proxy.met.items():
-                known = self.due.setdefault(("met", b, proxy.zone), [now - SECOND, 0, 0, 0])
+                known = self.due.setdefault(("attempts_reported", b, proxy.zone), [now - SECOND, 0, 0, 0])
                 known[1:] = [old + new for old, new in zip(known[1:], met, strict=True)]
             proxy.came, proxy.met = dict.fromkeys(range(len(day.s.works)), 0), {}
         late = day.lateness() * SECOND
         ranks = {line: (due[0], day.coin()) for line, due in self.due.items()}
         for line in sorted(ranks, key=ranks.get)[: day.s.lines]:
             since, *sums = self.due.pop(line)
-            if line[0] == "came":
+            if line[0] == "demand_reported":
                 call = (*line, sums[0], now - since)
             else:
                 tries, lost, took = sums
@@ -162,18 +162,18 @@
             routes=tuple(Route(w.importance, w.slo, False, None, None) for w in s.works),
             zones=s.zones,
             coordinators=s.coordinators,
-            must_ask=False,
-            ask_within=10 * SECOND,
+            must_watch=False,
+            watch_timeout=10 * SECOND,
             admission="fraction",
             cycle=SECOND,
             backlog=4000,
-            pace=4000.0,
-            head=6.0,
-            messages_most=0,
-            messages_over=10 * SECOND,
+            channel_lines_per_second=4000.0,
+            message_overhead=6.0,
+            message_limit=0,
+            message_limit_window=10 * SECOND,
             grace=s.grace,
-            cold=s.cold,
-            cold_from=s.cold_from,
+            warm_up_time=s.cold,
+            cold_start_capacity=s.cold_from,
             proxies=s.stated,
         )
         make = self.world.chance("fleet")
@@ -215,7 +215,7 @@
                 EPOCH,
                 self.world.now,
                 checker=TokenChecker(roster),
-                rate=RATE,
+                rate=DEFAULT_BYTES_PER_SECOND,
             )
             c.address = (c.name, 1)
             self.network.ends[c.address] = partial(self.datagram, c)
@@ -234,12 +234,12 @@
         now = self.world.now
         if isinstance(c.agent, Liar):
             c.agent.everybody = [c.bridge.key(b) for b in c.planner.backends]
-        c.agent.observe(now, c.bridge.misses())
+        c.agent.observe(now, c.bridge.missing_answers())
         self.network.send(c.address, c.agent.tick(now, self.unix()))
         pooled = c.agent.pooled(now)
-        if (pooled or c.bridge.said) and now >= c.next_told:
+        if (pooled or c.bridge.reported) and now >= c.next_told:
             c.next_told = now + SECOND
-            for call in c.bridge.calls(pooled):
+            for call in c.bridge.events(pooled):
                 c.told(call)
         self.world.after(GOSSIP, self.gossip, c)
 
@@ -275,7 +275,7 @@
     def hear(self, c, b, state):
         if self.fleet[b].listed == state:
             self.audit.told(c.name, b, state)
-            c.told(("listed", "changes", [c.entry(self.fleet[b])]))
+            c.told(("backends_listed", "changes", [c.entry(self.fleet[b])]))
 
     def part(self, numbers):
         self.network.apart = (frozenset((f"n{n}", 1) for n in numbers),)
@@ -295,26 +295,26 @@
         for c in self.coordinators:
             for proxy in list(c.channel.joined.values()):
                 c.channel.leave(proxy.number)
-                c.told(("left", proxy.number))
-                self.world.after(LOSE + SECOND // 10 * self.coin(), self.through_files, c, proxy, False)
+                c.told(("proxy_left", proxy.number))
+                self.world.after(STREAM_LOST_AFTER_US + SECOND // 10 * self.coin(), self.through_files, c, proxy, False)
 
     def back(self):
         """All streams stand again and have for long enough."""
         for c in self.coordinators:
             for proxy in list(c.folder.joined.values()):
                 c.folder.leave(proxy.number)
-                c.told(("left", proxy.number))
+                c.told(("proxy_left", proxy.number))
                 self.world.after(SECOND // 10 * self.coin(), self.through_stream, c, proxy, False)
 
     def through_files(self, c, proxy, standing):
         c.folder.join(proxy)
-        c.told(("joined", proxy.number, proxy.zone, self.s.calls / len(self.proxies), standing, 0))
+        c.told(("proxy_joined", proxy.number, proxy.zone, self.s.calls / len(self.proxies), standing, 0))
 
     def through_stream(self, c, proxy, standing):
         """As on the socket, what it may still shut out is let back with its first binding."""
-        proxy.out &= {b for b, x in c.planner.backends.items() if x.out}
+        proxy.out &= {b for b, x in c.planner.backends.items() if x.withdrawn}
         c.channel.joined[proxy.number] = proxy
-        c.told(("joined", proxy.number, proxy.zone, self.s.calls / len(self.proxies), standing, 0))
+        c.told(("proxy_joined", proxy.number, proxy.zone, self.s.calls / len(self.proxies), standing, 0))
 
     # Calls
 
--- a/cranecleat/rehearsal/edge.py
+++ b/cranecleat/rehearsal/edge.py
@@ -60,14 +60,14 @@
 
     # The planner's Writer
 
-    def line(self, table, backend, weight):
+    def set_weight(self, table, backend, weight):
         lines = self.tables.setdefault(table, {})
         lines[backend] = weight
         if not weight:
             del lines[backend]
         self.lines.append((table, backend, weight))
 
-    def bind(self, proxy, table, routes, narrow=False):
+    def bind(self, proxy, table, routes, is_subset=False):
         for route in routes:
             self.bound.setdefault(proxy, {})[route] = table
             self.fresh.setdefault(proxy, set()).add(route)
@@ -75,11 +75,11 @@
     def withdraw(self, backend, out):
         self.moved.append((backend, out))
 
-    def admit(self, table, routes, level, tries):
+    def set_admission(self, table, routes, level, tries):
         for route in routes:
             self.set[route] = level
 
-    def mark(self, number):
+    def request_ack(self, number):
         """Returns who gets a message of this round."""
         self.number, tables = number, {table for table, _, _ in self.lines}
         return {
@@ -94,8 +94,8 @@
     def watch(self):
         """A watch is always up here; discovery may still be late."""
 
-    def wake(self, at, number):
-        self.world.at(at, self.told, ("woke", number))
+    def set_timer(self, at, number):
+        self.world.at(at, self.told, ("timer_fired", number))
 
     def log(self, text):
         """What the planner says is told by its state in the results."""
@@ -136,7 +136,7 @@
         self.waiting -= cost
         if self.joined.get(proxy.number) is proxy:
             proxy.apply(orders)
-            self.world.after(SECOND // 100, self.told, ("applied", proxy.number, number))
+            self.world.after(SECOND // 100, self.told, ("acknowledged", proxy.number, number))
 
 
 class Folder:
@@ -149,12 +149,12 @@
         self.ledger = Ledger(names, routes, 1 + number, 1)
         self.routes, self.index = routes, {}
         self.stands, self.readers, self.most = {}, {}, 0
-        for put in ("line", "bind", "withdraw", "admit", "mark", "forget"):
+        for put in ("set_weight", "bind", "withdraw", "set_admission", "request_ack", "forget"):
             setattr(self, put, getattr(self.ledger, put))
 
     @property
-    def seats(self):
-        return self.ledger.seats
+    def proxies(self):
+        return self.ledger.proxies
 
     @property
     def joined(self):
@@ -170,13 +170,13 @@
         self.readers.pop(number, None)
 
     def flush(self):
-        if not self.ledger.due():
+        if not self.ledger.has_changes():
             return
-        for step in [*self.ledger.steps(), *self.ledger.done(self.world.now)]:
+        for step in [*self.ledger.steps(), *self.ledger.publication_done(self.world.now)]:
             if step[0] == "drop":
                 self.stands.pop(step[1], None)
             else:
-                self.ledger.written(step)
+                self.ledger.step_done(step)
                 self.stands[step[1] if len(step) > 2 else "tables"] = step[-1]
         self.index = {called: b for b, called in self.ledger.names.ids.items()}
 
@@ -189,15 +189,15 @@
             view.offer(orders, tables, lambda called: read_body(self.stands[called], called))
             if view.seen != before:
                 self.obey(proxy, view)
-                self.world.after(self.BEAT * self.chance.random(), self.applied, proxy.number, view.force.applied)
+                self.world.after(self.BEAT * self.chance.random(), self.applied, proxy.number, view.in_force.applied)
         self.world.after(self.LOOK * (0.5 + self.chance.random()), self.look, proxy, view)
 
     def obey(self, proxy, view):
-        for route, lines in view.force.lines.items():
+        for route, lines in view.in_force.weights.items():
             proxy.tables[self.routes.index(route)] = {self.index[b]: w for b, w in lines.items()}
-        proxy.out = {self.index[b] for b in view.force.out}
-        proxy.levels = {self.routes.index(route): level for route, (level, _) in view.force.levels.items()}
+        proxy.out = {self.index[b] for b in view.in_force.withdrawn}
+        proxy.levels = {self.routes.index(route): level for route, (level, _) in view.in_force.levels.items()}
 
     def applied(self, number, generations):
-        for mark in self.ledger.applied(number, *generations, 0, self.world.now):
-            self.told(("applied", number, mark))
+        for mark in self.ledger.acknowledge(number, *generations, 0, self.world.now):
+            self.told(("acknowledged", number, mark))
--- a/cranecleat/rehearsal/network.py
+++ b/cranecleat/rehearsal/network.py
@@ -18,12 +18,12 @@
 
 class TokenChecker:
     def __init__(self, roster):
-        self.follow(roster)
+        self.update_roster(roster)
 
-    def follow(self, roster):
+    def update_roster(self, roster):
         self.roster = roster
 
-    def holds(self, one, use, digest, data, signature):
+    def is_valid(self, one, use, digest, data, signature):
         return any(
             hashlib.blake2b(use + digest + data, key=key, digest_size=64).digest() == signature
             for key in self.roster.members[one].keys
--- a/cranecleat/service/clock.py
+++ b/cranecleat/service/clock.py
@@ -2,7 +2,7 @@
 
 from heapq import heappop, heappush
 
-from cranecleat.decoding import MICRO
+from cranecleat.decoding import US_PER_SECOND
 
 
 class Clock:
@@ -10,13 +10,13 @@
     clock moves nothing, and the start times in the list can be compared."""
 
     def __init__(self, loop, unix):
-        self.loop, self.unix, self.base = loop, round(unix * MICRO), loop.time()
+        self.loop, self.unix, self.base = loop, round(unix * US_PER_SECOND), loop.time()
         self.due, self.count, self.timer, self.armed = [], 0, None, 0
 
     def now(self):
-        return self.unix + round((self.loop.time() - self.base) * MICRO)
+        return self.unix + round((self.loop.time() - self.base) * US_PER_SECOND)
 
-    def at(self, when, act):
+    def call_at(self, when, act):
         self.count += 1
         heappush(self.due, (when, self.count, act))
         self.arm()
@@ -26,7 +26,7 @@
             if self.timer:
                 self.timer.cancel()
             self.armed = self.due[0][0]
-            self.timer = self.loop.call_at(self.base + (self.armed - self.unix) / MICRO, self.fire)
+            self.timer = self.loop.call_at(self.base + (self.armed - self.unix) / US_PER_SECOND, self.fire)
 
     def fire(self):
         self.timer, now = None, self.now()
--- a/cranecleat/service/coordinator.py
+++ b/cranecleat/service/coordinator.py
@@ -2,13 +2,13 @@
 
 import re
 
-from cranecleat.decoding import Names
-from cranecleat.memory.pool import Pool
+from cranecleat.decoding import IndexMap
+from cranecleat.memory.pool import BufferPool
 from cranecleat.memory.streams import Streams
 from cranecleat.policy import Planner
 from cranecleat.protocol.connections import Incoming
-from cranecleat.protocol.limits import BUFFER, HALF_READ, MUTE, SHARE, SPARE, SUMMED
-from cranecleat.protocol.lines import Reader
+from cranecleat.protocol.limits import BUFFER, HALF_READ, LOG_SUMMARY_INTERVAL_US, MUTE, SHARE, SPARE
+from cranecleat.protocol.lines import MessageDecoder
 from cranecleat.protocol.reasons import Reason
 from cranecleat.protocol.registry import Registry
 
@@ -18,19 +18,24 @@
 class Coordinator:
     """What all connections share. `failed` is called with what the planner raised."""
 
-    def __init__(self, station, clock, log, failed):
-        self.station, self.clock, self.log, self.failed = station, clock, log, failed
-        self.names, self.kinds = Names(), station.kinds
-        routes = {name: index for index, name in enumerate(station.routes)}
-        self.reader = Reader(
-            station.zones, routes, station.proxies, self.names, station.bootstrap.cycle, station.patience
+    def __init__(self, configuration, clock, log, failed):
+        self.configuration, self.clock, self.log, self.failed = configuration, clock, log, failed
+        self.names, self.kinds = IndexMap(), configuration.kinds
+        routes = {name: index for index, name in enumerate(configuration.routes)}
+        self.reader = MessageDecoder(
+            configuration.zones,
+            routes,
+            configuration.proxies,
+            self.names,
+            configuration.bootstrap.cycle,
+            configuration.patience,
         )
-        self.pool = Pool(BUFFER, max(1, int(station.memory * HALF_READ) // BUFFER))
+        self.pool = BufferPool(BUFFER, max(1, int(configuration.memory * HALF_READ) // BUFFER))
         self.connections, self.strangers, self.collectors, self.stopping = set(), {}, set(), False
-        self.share, self.sums, self.expiring = max(1, int(station.descriptors * SHARE)), {}, False
-        self.registry = Registry(self, station.discovery, station.known[0], station.seed)
-        self.planner = Planner(station.bootstrap, station.seed)
-        self.streams = Streams(self.names, station.routes, self.wake, self.watch, self.says)
+        self.share, self.sums, self.expiring = max(1, int(configuration.descriptors * SHARE)), {}, False
+        self.registry = Registry(self, configuration.discovery, configuration.known[0], configuration.seed)
+        self.planner = Planner(configuration.bootstrap, configuration.seed)
+        self.streams = Streams(self.names, configuration.routes, self.set_timer, self.watch, self.says)
         self.files, self.writer = None, self.streams  # the files transport, where it is on: see `through_files`
         self.arrivals, self.waiting, self.last, self.longest = [], False, 0, 0
 
@@ -41,7 +46,7 @@
     def start(self):
         """The planner knows the list as it was last had before anybody is answered."""
         self.waiting = True  # for the round right below
-        self.listed("held", *self.station.known[1:])
+        self.listed("held", *self.configuration.known[1:])
         self.round()
 
     def accept(self):
@@ -49,18 +54,18 @@
 
     # What connections bring
 
-    def told(self, call):
+    def queue_event(self, call):
         if call:
             self.arrivals.append(call)
             if not self.waiting:
                 self.waiting = True
-                self.clock.at(max(self.clock.now(), self.last + self.station.round), self.round)
+                self.clock.call_at(max(self.clock.now(), self.last + self.configuration.round), self.round)
 
     def listed(self, scope, entries, wrong):
         """An entry that cannot be used leaves its backend as it was; a whole list with one is taken as changes, in
         which what is missing has gone, unless that may be the one whose name cannot be read."""
         for why in wrong.values():
-            self.count("bad_entry", detail=why)
+            self.log_aggregated("bad_entry", detail=why)
         if wrong and scope == "whole":
             scope, named = "changes", {*wrong, *(name for name, *_ in entries)}
             if None not in wrong:
@@ -68,35 +73,35 @@
         for name, state, *_ in entries:
             self.log.info("listed", scope=scope, uid=name, state=state)
         known = [(self.names(name), *rest) for name, *rest in entries]
-        self.streams.listed(scope, known)
-        self.told(("listed", scope, known))
+        self.streams.backends_listed(scope, known)
+        self.queue_event(("backends_listed", scope, known))
 
     def joined(self, connection, zone, typical, standing):
         self.strangers.pop(connection, None)
-        if not self.files or self.files.stream_came(connection, zone, typical, standing):
-            self.stream_joined(connection, zone, typical, standing)
+        if not self.files or self.files.stream_opened(connection, zone, typical, standing):
+            self.join_stream(connection, zone, typical, standing)
 
-    def stream_joined(self, connection, zone, typical, standing):
-        old, brought = self.streams.join(connection.number, connection, typical, standing)
-        self.reader.typical = self.streams.typical()
+    def join_stream(self, connection, zone, typical, standing):
+        old, brought = self.streams.join(connection.proxy, connection, typical, standing)
+        self.reader.typical_rate = self.streams.typical_rate()
         if old:
             old.connection.end(Reason.REPLACED)
-        self.log.info("joined", proxy=connection.number, zone=zone, cold=standing, brought=brought)
-        self.told(("joined", connection.number, zone, typical, standing, brought))
+        self.log.info("joined", proxy=connection.proxy, zone=zone, cold=standing, brought=brought)
+        self.queue_event(("proxy_joined", connection.proxy, zone, typical, standing, brought))
 
     def lost(self, connection):
-        if connection.number is None:
+        if connection.proxy is None:
             return
-        served = self.streams.leave(connection.number, connection)
+        served = self.streams.leave(connection.proxy, connection)
         if served:
-            self.reader.typical = self.streams.typical()
-            self.told(("left", connection.number))
+            self.reader.typical_rate = self.streams.typical_rate()
+            self.queue_event(("proxy_left", connection.proxy))
         if self.files:
-            self.files.stream_went(connection, served)
+            self.files.stream_closed(connection, served)
 
     def waits(self, connection):
         """Whether a stream stands aside, as its proxy is served through files: what it says of orders counts there."""
-        return self.files is not None and connection.number in self.files.parked
+        return self.files is not None and connection.proxy in self.files.waiting_streams
 
     # Room for those that need no number: they may come in hundreds, or be left open by a cut
 
@@ -105,12 +110,12 @@
         has its chance in any case."""
         self.strangers[stranger] = None
         while len(self.strangers) > self.share or (
-            len(self.strangers) > 1 and len(self.connections) > self.station.descriptors * (1 - SPARE)
+            len(self.strangers) > 1 and len(self.connections) > self.configuration.descriptors * (1 - SPARE)
         ):
             self.drop_stranger()
         if not self.expiring:
             self.expiring = True
-            self.clock.at(stranger.opened + MUTE, self.expire)
+            self.clock.call_at(stranger.opened + MUTE, self.expire)
 
     def drop_stranger(self, detail=None):
         first = next(iter(self.strangers), None)
@@ -125,7 +130,7 @@
             first.end(Reason.MUTE)
         self.expiring = first is not None
         if first:
-            self.clock.at(first.opened + MUTE, self.expire)
+            self.clock.call_at(first.opened + MUTE, self.expire)
 
     def collects(self, connection):
         self.strangers.pop(connection, None)
@@ -141,10 +146,10 @@
         given.end(Reason.HALF_READ, "no buffer is free")
         return given is not asking
 
-    def count(self, event, detail=None, **what):
+    def log_aggregated(self, event, detail=None, **what):
         """What may come again and again is told in sums."""
         if not self.sums:
-            self.clock.at(self.clock.now() + SUMMED, self.sum_up)
+            self.clock.call_at(self.clock.now() + LOG_SUMMARY_INTERVAL_US, self.sum_up)
         key = event, *what.items()
         self.sums[key] = self.sums.get(key, (0,))[0] + 1, detail
 
@@ -153,14 +158,14 @@
             self.log.warning(event, **dict(what), count=count, detail=detail)
         self.sums.clear()
 
-    def follow(self, station):
+    def follow(self, configuration):
         """A new configuration: discovery moves, all else stays as it was at the start."""
         self.log.info(
             "reloaded",
-            discovery=":".join(map(str, station.discovery)),
-            kept=",".join(self.station.kept(station)) or None,
+            discovery=":".join(map(str, configuration.discovery)),
+            kept=",".join(self.configuration.kept(configuration)) or None,
         )
-        self.registry.follow(station.discovery)
+        self.registry.follow(configuration.discovery)
 
     # What the planner asks for, beside orders
 
@@ -171,8 +176,8 @@
     def watch(self):
         """A watch is kept up in any case, and dialled anew when it fails: see protocol/registry.py."""
 
-    def wake(self, at, number):
-        self.clock.at(at, lambda: self.told(("woke", number)))
+    def set_timer(self, at, number):
+        self.clock.call_at(at, lambda: self.queue_event(("timer_fired", number)))
 
     # Rounds
 
@@ -195,7 +200,7 @@
 
     def took(self, time):
         """A round holds up all else; the longest so far is told where it is long."""
-        if time > self.longest and time > self.station.bootstrap.cycle * SLOW_ROUND:
+        if time > self.longest and time > self.configuration.bootstrap.cycle * SLOW_ROUND:
             self.log.warning("slow_round", us=time)
         self.longest = max(self.longest, time)
 
--- a/cranecleat/service/run.py
+++ b/cranecleat/service/run.py
@@ -18,9 +18,9 @@
 HEARD = signal.SIGTERM, signal.SIGINT, signal.SIGHUP  # outside of the loop's life they would end it with another code
 
 
-async def serve(station, log, switched=None):
+async def serve(configuration, log, switched=None):
     """Runs until a signal or a failure of the planner; returns the exit code. `switched`: the operator's file, read."""
-    loop, where = asyncio.get_running_loop(), ":".join(map(str, station.listen))
+    loop, where = asyncio.get_running_loop(), ":".join(map(str, configuration.listen))
     ended = loop.create_future()
 
     def end(code):
@@ -37,10 +37,10 @@
 
     def reloaded():
         try:
-            station, switched = reread(os.environ), operator(os.environ, coordinator.station.name)
-            coordinator.follow(station)
+            configuration, switched = reread(os.environ), operator(os.environ, coordinator.configuration.name)
+            coordinator.follow(configuration)
             if courier and switched and switched.gossip:
-                courier.follow(switched.gossip)
+                courier.reload(switched.gossip)
         except MalformedError as wrong:
             log.error("reload_failed", says=str(wrong))
 
@@ -50,22 +50,24 @@
     loop.set_exception_handler(internal)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopped, number)
-    coordinator = Coordinator(station, Clock(loop, time.time()), log, failed)
+    coordinator = Coordinator(configuration, Clock(loop, time.time()), log, failed)
     courier = None
     if switched and switched.gossip:
-        from cranecleat.gossip.shell import Courier  # with its keys it costs some MB: only where it is switched on
+        from cranecleat.gossip.shell import (
+            GossipTransport,  # with its keys it costs some MB: only where it is switched on
+        )
 
-        courier = Courier(coordinator, switched.gossip)
+        courier = GossipTransport(coordinator, switched.gossip)
     if switched and switched.files:
-        from cranecleat.files.front import Both, Front
+        from cranecleat.files.front import CombinedWriter, FilesTransport
 
-        front = Front(coordinator, switched.files)
-        coordinator.through_files(front, Both(coordinator.streams, front.ledger))
+        front = FilesTransport(coordinator, switched.files)
+        coordinator.through_files(front, CombinedWriter(coordinator.streams, front.ledger))
     loop.add_signal_handler(signal.SIGHUP, reloaded)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HEARD)
     coordinator.start()
     try:
-        listener = Listener(coordinator, station.listen)
+        listener = Listener(coordinator, configuration.listen)
     except OSError as failure:
         raise MalformedError(f"cannot listen on {where}: {failure.strerror}") from None
     coordinator.registry.dial()
@@ -90,8 +92,8 @@
 def main():
     signal.pthread_sigmask(signal.SIG_BLOCK, HEARD)  # what comes this early waits until it can be heard
     try:
-        station = read(os.environ)
-        return asyncio.run(serve(station, open_log(station.name), operator(os.environ, station.name)))
+        configuration = read(os.environ)
+        return asyncio.run(serve(configuration, open_log(configuration.name), operator(os.environ, configuration.name)))
     except MalformedError as wrong:
         print(f"cranecleat: {wrong}", file=sys.stderr)
         return CANNOT_START
--- a/cranecleat/service/start.py
+++ b/cranecleat/service/start.py
@@ -3,14 +3,14 @@
 import json
 from dataclasses import dataclass, fields
 
-from cranecleat.decoding import MalformedError, bootstrap, micros
+from cranecleat.decoding import MalformedError, decode_bootstrap, to_microseconds
 from cranecleat.interface import Bootstrap
 from cranecleat.protocol.reasons import ProtocolError
-from cranecleat.protocol.registry import decode
+from cranecleat.protocol.registry import decode_list
 
 
 @dataclass(frozen=True, slots=True)
-class Station:
+class Configuration:
     """One coordinator's place: its name, its addresses, its limits and the deployment that it serves."""
 
     name: str
@@ -64,23 +64,23 @@
             raise MalformedError(f"{path}: {key!r} is missing or no object")
     try:
         info, limits = told["settings"], told["limits"]
-        boot = bootstrap(info)
+        boot = decode_bootstrap(info)
         zones = {name: index for index, name in enumerate(info["localities"])}
         kinds = {name: index for index, name in enumerate(info.get("skus", []))}
-        version, _, *listed = decode(told["known"], zones, kinds)
-        return Station(
+        version, _, *listed = decode_list(told["known"], zones, kinds)
+        return Configuration(
             name=str(told["name"]),
             listen=address(told["listen"]),
             discovery=address(told["discovery"]),
             seed=str(told["seed"]),
             memory=int(limits["memory_mb"] * 2**20),
             descriptors=int(limits["sockets"]),
-            round=micros(info["round"]),
+            round=to_microseconds(info["round"]),
             routes=tuple(route["name"] for route in info["requestClasses"]),
             zones=zones,
             kinds=kinds,
             proxies=int(info["specifics"]["proxyCount"]),
-            patience=micros(max(route["giveUp"] for route in info["requestClasses"])),
+            patience=to_microseconds(max(route["giveUp"] for route in info["requestClasses"])),
             bootstrap=boot,
             known=(version, *listed),
         )
@@ -107,7 +107,7 @@
     if not path:
         return None
     from cranecleat.operator.document import DocumentError
-    from cranecleat.operator.file import read as read_file
+    from cranecleat.operator.file import read_operator_file as read_file
 
     try:
         return read_file(path, me)
--- a/cranecleat/wirehost/codec.py
+++ b/cranecleat/wirehost/codec.py
@@ -1,6 +1,6 @@
 """The bench's words: events into calls of the planner, decisions into actions."""
 
-from cranecleat.decoding import MICRO, choice, micros
+from cranecleat.decoding import US_PER_SECOND, choice, to_microseconds
 
 ALL = 65535  # the table number that stands for all tables of all joined proxies
 SCOPES = {"patch": "changes", "whole": "whole", "stale_copy": "held", "broken": "failed"}
@@ -17,37 +17,37 @@
         if event["backend"] not in names.index:
             return None  # forgotten, or never listed
         return (
-            "met",
+            "attempts_reported",
             names(event["backend"]),
             int(event.get("failureDomain", 0)),
             int(event.get("many", 0)),
             int(event.get("unanswered", 0)),
-            micros(event.get("costTime", 0)),
-            micros(event.get("covers", 0)),
+            to_microseconds(event.get("costTime", 0)),
+            to_microseconds(event.get("covers", 0)),
             (float(busy), float(served)) if known else None,
         )
     if kind == "offeredLoad":
         return (
-            "came",
+            "demand_reported",
             int(event["sidecar"]),
             int(event.get("lane", 0)),
             int(event.get("many", 0)),
-            micros(event.get("covers", 0)),
+            to_microseconds(event.get("covers", 0)),
         )
     if kind == "timeoutFired":
-        return ("woke", int(event.get("mark", 0)))
+        return ("timer_fired", int(event.get("mark", 0)))
     if kind == "installed":
-        return ("applied", int(event["sidecar"]), int(event.get("number", 0)))
+        return ("acknowledged", int(event["sidecar"]), int(event.get("number", 0)))
     if kind == "connected":
         return (
-            "joined",
+            "proxy_joined",
             int(event["sidecar"]),
             int(event.get("failureDomain", 0)),
             float(event.get("share", 0)),
             bool(event.get("set", False)),
         )
     if kind == "droppedOff":
-        return ("left", int(event["sidecar"]))
+        return ("proxy_left", int(event["sidecar"]))
     if kind == "rosterChange":
         entries = [
             (
@@ -56,11 +56,11 @@
                 int(r.get("failureDomain", 0)),
                 int(r.get("type", 0)),
                 float(r.get("share", 1)),
-                micros(r.get("startedAt", 0) or 0),
+                to_microseconds(r.get("startedAt", 0) or 0),
             )
             for r in event.get("records") or []
         ]
-        return ("listed", choice(SCOPES, event.get("scope", "patch"), "scope"), entries)
+        return ("backends_listed", choice(SCOPES, event.get("scope", "patch"), "scope"), entries)
     if kind == "leased":
         return ("slice_given", int(event["routeTable"]), bool(event.get("set", False)))
     if kind == "recorded":
@@ -71,12 +71,17 @@
             int(event["routeTable"]),
             int(event.get("lane", 0)),
             int(event.get("many", 0)),
-            micros(event.get("covers", 0)),
+            to_microseconds(event.get("covers", 0)),
         )
     if kind == "echo":
-        return ("probed", names(event["backend"]), event.get("stateCode") == "done", micros(event.get("costTime", 0)))
+        return (
+            "probe_answered",
+            names(event["backend"]),
+            event.get("stateCode") == "done",
+            to_microseconds(event.get("costTime", 0)),
+        )
     if kind == "datagram":
-        return ("peer_said", int(event.get("src", 0)), str(event.get("content", "")))
+        return ("peer_message_received", int(event.get("src", 0)), str(event.get("content", "")))
     return None
 
 
@@ -93,19 +98,19 @@
     def bits(routes):
         return sum(1 << r for r in routes)
 
-    def line(self, table, backend, weight):
+    def set_weight(self, table, backend, weight):
         self.put("setWeight", routeTable=table, backend=self.names.ids[backend], share=weight)
 
     def clear(self, table):
         self.put("empty", routeTable=table)
 
-    def bind(self, proxy, table, routes, narrow=False):
+    def bind(self, proxy, table, routes, is_subset=False):
         self.put("subscribeTo", sidecar=proxy, routeTable=table, classes=self.bits(routes))
 
     def withdraw(self, backend, out):
         self.put("bench", backend=self.names.ids[backend], set=out)
 
-    def admit(self, table, routes, level, tries):
+    def set_admission(self, table, routes, level, tries):
         self.put(
             "ration", routeTable=ALL if table is None else table, classes=self.bits(routes), quota=level, how=tries
         )
@@ -113,7 +118,7 @@
     def forget(self, backend):
         self.names.forget(backend)
 
-    def mark(self, number):
+    def request_ack(self, number):
         self.put("seal", number=number, set=False)
 
     def watch(self):
@@ -128,8 +133,8 @@
     def tell(self, peer, text):
         self.put("memoTo", to=peer, content=text)
 
-    def wake(self, at, number):
-        self.put("sleep", time=at / MICRO, mark=number)
+    def set_timer(self, at, number):
+        self.put("sleep", time=at / US_PER_SECOND, mark=number)
 
     def log(self, text):
         self.put("trace", reasonText=text)
--- a/cranecleat/wirehost/host.py
+++ b/cranecleat/wirehost/host.py
@@ -3,7 +3,7 @@
 import json
 from math import isfinite
 
-from cranecleat.decoding import MalformedError, Names, bootstrap, micros
+from cranecleat.decoding import IndexMap, MalformedError, decode_bootstrap, to_microseconds
 from cranecleat.policy import Planner
 from cranecleat.wirehost.codec import Actions, decode
 
@@ -12,9 +12,9 @@
     """One planner with its names. A start message that cannot be used leaves it without a planner."""
 
     def __init__(self, spawn, instance):
-        self.names = Names()
+        self.names = IndexMap()
         self.writer = Actions(instance, self.names, [])
-        self.planner = Planner(bootstrap(spawn.get("info") or {}), int(spawn.get("salt", 0)))
+        self.planner = Planner(decode_bootstrap(spawn.get("info") or {}), int(spawn.get("salt", 0)))
 
 
 def by_instance(inbox):
@@ -71,7 +71,7 @@
         raise MalformedError("'wall' must be a number")
     if not isinstance(inbox, list):
         raise MalformedError("'inbox' must be an array")
-    return micros(clock), by_instance(inbox)
+    return to_microseconds(clock), by_instance(inbox)
 
 
 def serve(source, sink, errors):
--- a/tests/folders.py
+++ b/tests/files_harness.py
@@ -3,12 +3,12 @@
 import errno
 import os
 
-from cranecleat.decoding import Names
-from cranecleat.files.disk import Calls, Disk, Hold, do
+from cranecleat.decoding import IndexMap
+from cranecleat.files.disk import Calls, Disk, FolderLock, apply_step
 from cranecleat.files.follow import Follower
 from cranecleat.files.format import Report
 from cranecleat.files.ledger import Ledger
-from cranecleat.files.recover import look
+from cranecleat.files.recover import scan_folder
 
 ROUTES = ("read", "new-address")
 SECOND = 1_000_000
@@ -63,11 +63,11 @@
     def __init__(self, folder, calls=Calls, proxies=3, unix=1000, sync="all"):
         self.disk = Disk(folder, sync, calls)
         self.disk.prepare()
-        self.hold = Hold(self.disk, "n0", unix)
-        found = look(self.disk, sweep=True)
+        self.lock = FolderLock(self.disk, "n0", unix)
+        found = scan_folder(self.disk, sweep=True)
         self.found = found
-        self.names = Names()
-        self.ledger = Ledger(self.names, ROUTES, self.hold.fence, unix, found.generation)
+        self.names = IndexMap()
+        self.ledger = Ledger(self.names, ROUTES, self.lock.fence, unix, found.generation)
         self.ledger.bodies = found.bodies
         self.proxies, self.now = proxies, 0
 
@@ -76,7 +76,7 @@
             self.names(f"s-{b}")
         for route in range(2):
             for b in range(4):
-                self.ledger.line(route, b, 1.0)
+                self.ledger.set_weight(route, b, 1.0)
         for p in range(self.proxies):
             self.ledger.join(p)
             for route in range(2):
@@ -87,35 +87,35 @@
         """The n-th state: weights that name it in both tables, and one backend shut out, all of which go together."""
         for route in range(2):
             for b in range(4):
-                self.ledger.line(route, b, float(n * 10 + b + 1))
+                self.ledger.set_weight(route, b, float(n * 10 + b + 1))
         for b in range(4):
             self.ledger.withdraw(b, b == n % 4)
-        self.ledger.admit(None, (0, 1), n / 1000, 1)
+        self.ledger.set_admission(None, (0, 1), n / 1000, 1)
         return self
 
     def publish(self):
-        self.hold.check()
+        self.lock.check()
         for step in self.ledger.steps():
-            do(self.disk, step)
-            self.ledger.written(step)
-        for step in self.ledger.done(self.now):
-            do(self.disk, step)
+            apply_step(self.disk, step)
+            self.ledger.step_done(step)
+        for step in self.ledger.publication_done(self.now):
+            apply_step(self.disk, step)
 
     def end(self):
-        self.hold.release()
+        self.lock.release()
 
 
 def told(follower):
     """What one proxy has in force as the number of its state; fails where it is a mixture of two."""
-    force, lines = follower.view.force, [follower.view.force.lines.get(route) for route in ROUTES]
-    if not force.lines:
+    force, lines = follower.view.in_force, [follower.view.in_force.weights.get(route) for route in ROUTES]
+    if not force.weights:
         return None
     assert lines[0] == lines[1], f"mixed tables: {lines}"
     first = lines[0]["s-0"]
     assert lines[0] == {f"s-{b}": first + b for b in range(4)}, f"torn: {lines[0]}"
     n = round((first - 1) / 10)
     if force.levels:
-        assert force.out == {f"s-{n % 4}"} and force.levels["read"] == (n / 1000, 1), f"mixed: {n} {force}"
+        assert force.withdrawn == {f"s-{n % 4}"} and force.levels["read"] == (n / 1000, 1), f"mixed: {n} {force}"
     return n
 
 
--- a/tests/peers.py
+++ b/tests/gossip_harness.py
@@ -5,11 +5,11 @@
 import time
 from types import SimpleNamespace
 
-from cranecleat.gossip.agent import RATE, Agent
+from cranecleat.gossip.agent import DEFAULT_BYTES_PER_SECOND, Agent
 from cranecleat.gossip.roster import Member, Roster
 from cranecleat.gossip.seal import Signer
-from cranecleat.gossip.shell import Courier
-from cranecleat.operator.file import Gossip
+from cranecleat.gossip.shell import GossipTransport
+from cranecleat.operator.file import GossipSettings
 from cranecleat.rehearsal.network import Token, TokenChecker
 from cranecleat.service.clock import Clock
 
@@ -28,7 +28,7 @@
 class Group:
     """Agents with signatures that cost nothing, each at the address (name, 1); time goes by in `run`."""
 
-    def __init__(self, count, seed=1, rate=RATE):
+    def __init__(self, count, seed=1, rate=DEFAULT_BYTES_PER_SECOND):
         self.now, self.lost, self.apart, self.log = 0, lambda sender, to, data: False, set(), []
         self.members = [Member(name, (name, 1), (Token(name).public,)) for name in names(count)]
         self.rate, self.seed, self.agents = rate, seed, {}
@@ -84,7 +84,7 @@
         self.backends = {b: SimpleNamespace(started=0) for b in range(backends)}
         self.missing = {}
 
-    def misses(self):
+    def missing_answers(self):
         return self.missing
 
 
@@ -93,20 +93,20 @@
 
     def __init__(self, name, backends):
         self.clock = Clock(asyncio.get_running_loop(), time.time())
-        self.station = SimpleNamespace(seed=name)
+        self.configuration = SimpleNamespace(seed=name)
         self.planner, self.names = Planned(backends), SimpleNamespace(ids=[f"s-{b}" for b in range(backends)])
         self.calls, self.doubts, self.counted = [], {}, {}
         self.log = SimpleNamespace(info=lambda *_, **__: None, warning=lambda *_, **__: None)
 
-    def told(self, call):
+    def queue_event(self, call):
         self.calls.append(call)
         self.doubts[call[1]] = call[2]
 
-    def count(self, event, detail=None, **_):
+    def log_aggregated(self, event, detail=None, **_):
         self.counted[event] = self.counted.get(event, 0) + 1
 
 
-def sections(folder, count, keys=None, rate=RATE):
+def sections(folder, count, keys=None, rate=DEFAULT_BYTES_PER_SECOND):
     """Sections of operator's files for `count` members on free ports of this machine, with key files in `folder`."""
     free = []
     for _ in range(count):
@@ -122,7 +122,7 @@
     for name in names(count):
         write_key(folder / f"{name}.key", secret(name))
     return [
-        Gossip(name, "test", place, folder / f"{name}.key", rate, None, members)
+        GossipSettings(name, "test", place, folder / f"{name}.key", rate, None, members)
         for name, place in zip(names(count), places, strict=True)
     ]
 
@@ -138,7 +138,7 @@
     """Real couriers, open."""
     found = []
     for section in sections(folder, count, **more):
-        courier = Courier(Hub(section.me, backends), section)
+        courier = GossipTransport(Hub(section.me, backends), section)
         await courier.open()
         found.append(courier)
     return found
--- a/tests/stage.py
+++ b/tests/service_harness.py
@@ -13,7 +13,7 @@
 
 from cranecleat.service import run
 from cranecleat.service.start import read
-from scene import Service
+from planner_harness import CoordinatorProcess
 
 MASKED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
@@ -64,20 +64,20 @@
         return [fields for name, fields in self.lines if name == event]
 
 
-class Stage:
+class ServiceHarness:
     WAIT = 20  # seconds of real time for anything at all: only what never comes takes them
 
     def __init__(self, folder, monkeypatch, **changes):
-        self.service, self.patch = Service(folder, **changes), monkeypatch
+        self.service, self.patch = CoordinatorProcess(folder, **changes), monkeypatch
         self.service.registry.setblocking(False)
-        self.log, self.loop, self.hub, self.listener = Log(), Loop(), None, None
+        self.log, self.loop, self.coordinator, self.listener = Log(), Loop(), None, None
 
     def __enter__(self):
-        for name, kept in (("Coordinator", "hub"), ("Listener", "listener")):
+        for name, kept in (("Coordinator", "coordinator"), ("Listener", "listener")):
             made = getattr(run, name)
             self.patch.setattr(run, name, lambda *given, made=made, kept=kept: self.keep(kept, made(*given)))
         self.masked = signal.pthread_sigmask(signal.SIG_BLOCK, ())
-        self.write(self.service.told)
+        self.write(self.service.configuration)
         self.patch.setenv("BALANCER_CONFIG", str(self.service.path))
         asyncio.set_event_loop(self.loop)
         self.task = self.loop.create_task(run.serve(read({"BALANCER_CONFIG": str(self.service.path)}), self.log))
@@ -95,7 +95,7 @@
                 self.loop.run_until_complete(self.task)
         if self.listener and self.listener.socket.fileno() >= 0:
             self.listener.close()
-        for one in list(self.hub.connections):
+        for one in list(self.coordinator.connections):
             one.transport.abort()
         for _ in range(3):
             self.loop.step()
@@ -137,15 +137,15 @@
         self.still()
 
     def reload(self, **changes):
-        self.service.told.update(changes)
-        self.write(self.service.told)
+        self.service.configuration.update(changes)
+        self.write(self.service.configuration)
         self.signal(signal.SIGHUP)
 
     # Who speaks with it
 
     def dial(self, *messages):
         dialled = socket.create_connection(self.service.address, timeout=self.WAIT)
-        self.service.open.append(dialled)
+        self.service.sockets.append(dialled)
         dialled.setblocking(False)
         dialled.sendall("".join(message + "\r\n" for message in messages).encode())
         return dialled
@@ -156,7 +156,7 @@
             watch, _ = (listening or self.service.registry).accept()
         except BlockingIOError:
             return None
-        self.service.open.append(watch)
+        self.service.sockets.append(watch)
         watch.setblocking(False)
         return watch, self.until(lambda: self.got(watch)).split("\r\n")[0]
 
--- a/tests/test_bookkeeping.py
+++ b/tests/test_bookkeeping.py
@@ -6,7 +6,7 @@
 
 from cranecleat.bookkeeping.demand import UNIT, Demand
 from cranecleat.policy import Planner
-from scene import BOOT, SECOND, Scene
+from planner_harness import BOOTSTRAP, SECOND, PlannerHarness
 
 ROUTES, ZONES = 3, 2
 rates = st.floats(0, 1e4, allow_nan=False)
@@ -36,23 +36,23 @@
     @rule(data=st.data(), route=st.integers(0, ROUTES - 1), rate=rates)
     def report(self, data, route, rate):
         p = data.draw(st.sampled_from(sorted(self.plain)))
-        self.plain[p][3][route] = self.kept.report(p, route, rate)
+        self.plain[p][3][route] = self.kept.report_rate(p, route, rate)
 
     @rule(back=st.integers(-1, 12))
     def settle(self, back):
         self.since = self.now - back
-        self.kept.settle(self.since)
+        self.kept.update_settled(self.since)
 
     @invariant()
     def same(self):
         whole = {p: sum(usage.values()) if usage else typical for p, (_, typical, _, usage) in self.plain.items()}
         young = {p for p, (_, _, since, _) in self.plain.items() if not self.kept.known[p][4]}
         totals, mute = self.kept.by_route()
-        close(self.kept.all(), sum(whole.values()))
-        close(self.kept.of_newcomers(), sum(whole[p] for p in young))
+        close(self.kept.total_rate(), sum(whole.values()))
+        close(self.kept.newcomer_rate(), sum(whole[p] for p in young))
         for zone in range(ZONES):
-            close(self.kept.in_zone(zone), sum(whole[p] for p, told in self.plain.items() if told[0] == zone))
-            close(self.kept.typical(zone), sum(told[1] for told in self.plain.values() if told[0] == zone))
+            close(self.kept.zone_rate(zone), sum(whole[p] for p, told in self.plain.items() if told[0] == zone))
+            close(self.kept.typical_rate(zone), sum(told[1] for told in self.plain.values() if told[0] == zone))
         for route in range(ROUTES):
             close(totals[route], sum(told[3].get(route, 0.0) for told in self.plain.values()))
             close(
@@ -77,7 +77,7 @@
         now += later
         kept.join(i, 0, 1.0, now)
         joined[i] = now
-        kept.settle(now - back)
+        kept.update_settled(now - back)
         assert {p for p, known in kept.known.items() if not known[4]} == {
             p for p, since in joined.items() if since > now - back
         }
@@ -87,10 +87,15 @@
     kept = Demand(2)
     for turn in range(2000):
         kept.join(turn % 7, 0, 0.1 * turn, turn)
-        kept.report(turn % 7, turn % 2, 1e4 / (turn + 3))
+        kept.report_rate(turn % 7, turn % 2, 1e4 / (turn + 3))
     for p in range(7):
         kept.leave(p)
-    assert (kept.all(), kept.in_zone(0), kept.by_route(), kept.typical()) == (0.0, 0.0, ([0, 0], [0, 0]), 0.0)
+    assert (kept.total_rate(), kept.zone_rate(0), kept.by_route(), kept.typical_rate()) == (
+        0.0,
+        0.0,
+        ([0, 0], [0, 0]),
+        0.0,
+    )
 
 
 @settings(max_examples=60, deadline=None)
@@ -105,29 +110,35 @@
 )
 def test_the_planners_queue_and_indexes_are_what_a_walk_over_all_gives(steps):
     """What may still wait is the sum of what is owed; users of tables, who waits and who is bare are as proxies say."""
-    scene = Scene(verbs=(), acknowledge=False, zones=2)
-    planner: Planner = scene.planner
-    scene.list(*((b, "running", None) for b in range(4)))
+    harness = PlannerHarness(decisions=(), acknowledge=False, zones=2)
+    planner: Planner = harness.planner
+    harness.list_backends(*((b, "running", None) for b in range(4)))
     for what, p, b in steps:
         if what == "join":
-            scene.tell(("joined", p, p % 2, 5.0 + p, p % 3 > 0, p % 2), after=0.3)
+            harness.play_round(("proxy_joined", p, p % 2, 5.0 + p, p % 3 > 0, p % 2), after=0.3)
         elif what == "left":
-            scene.tell(("left", p), after=0.1)
+            harness.play_round(("proxy_left", p), after=0.1)
         elif what == "list":
-            scene.list((b, ("running", "draining", "gone")[p % 3], None), how="changes", after=0.2)
+            harness.list_backends((b, ("running", "draining", "gone")[p % 3], None), scope="changes", after=0.2)
         elif what == "came":
-            scene.tell(("came", p, b % 2, p, SECOND), after=0.2)
+            harness.play_round(("demand_reported", p, b % 2, p, SECOND), after=0.2)
         elif what == "second":
-            scene.second(range(4), calls=40 + p)
+            harness.play_second(range(4), calls=40 + p)
         else:
-            scene.tell(*(("applied", q, mark) for mark in scene.marks for q in list(planner.proxies)))
-        owed = sum(sum(lines.values()) for _, lines, _ in planner.channel.owed)
-        assert abs(planner.channel.queue - owed) < 1e-6
+            harness.play_round(
+                *(("acknowledged", q, mark) for mark in harness.ack_numbers for q in list(planner.proxies))
+            )
+        owed = sum(sum(lines.values()) for _, lines, _ in planner.channel.unacknowledged)
+        assert abs(planner.channel.queued_lines - owed) < 1e-6
         proxies = planner.proxies
-        assert set(planner.users.waiting) == {q for q, one in proxies.items() if len(one.bound) < len(BOOT.routes)}
-        assert planner.users.bare == {q for q, one in proxies.items() if not one.bound}
+        assert set(planner.users.waiting) == {
+            q for q, one in proxies.items() if len(one.bound_tables) < len(BOOTSTRAP.routes)
+        }
+        assert planner.users.unbound == {q for q, one in proxies.items() if not one.bound_tables}
         for table in planner.tables:
-            assert set(planner.users.tables.get(table, ())) == {q for q, one in proxies.items() if table in one.bound}
-        close(planner.demand.all(), sum(one.calls() for one in proxies.values()))
-        assert not planner.channel.charged and not planner.channel.spent
-        assert not any(one.cost for one in proxies.values())
+            assert set(planner.users.proxies_by_table.get(table, ())) == {
+                q for q, one in proxies.items() if table in one.bound_tables
+            }
+        close(planner.demand.total_rate(), sum(one.call_rate() for one in proxies.values()))
+        assert not planner.channel.charged_proxies and not planner.channel.table_lines
+        assert not any(one.message_cost for one in proxies.values())
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -3,11 +3,11 @@
 
 import pytest
 
-from scene import SECOND, Scene
-from test_sections import Wire
+from planner_harness import SECOND, PlannerHarness
+from test_subsets import FleetSimulation
 
 
-class ColdFleet(Wire):
+class ColdFleet(FleetSimulation):
     """Keeps when each backend started, and how long each cold one has been brought over `MULTIPLE` times its part."""
 
     MULTIPLE = 3.0  # of what a backend can do at its age where all are loaded alike
@@ -16,27 +16,29 @@
         self.started, self.over, self.longest = {}, {}, {}
         super().__init__(backends, **figures)
 
-    def list(self, states, scope="changes", cold=()):
+    def list_backends(self, states, scope="changes", cold=()):
         """`cold`: those that have just started."""
         self.started.update(dict.fromkeys(cold, self.now - SECOND // 2))
-        super().list(states, scope)
-        verb, scope, known = self.calls.pop()
-        starts = [self.started.get(int(self.desk.names.ids[entry[0]][2:]), 0) for entry in known]
-        self.calls.append((verb, scope, [(*entry[:5], at) for entry, at in zip(known, starts, strict=True)]))
+        super().list_backends(states, scope)
+        verb, scope, known = self.events.pop()
+        starts = [self.started.get(int(self.harness.names.ids[entry[0]][2:]), 0) for entry in known]
+        self.events.append((verb, scope, [(*entry[:5], at) for entry, at in zip(known, starts, strict=True)]))
 
     def warmth(self, backend):
-        age = (self.now - self.started.get(backend, 0)) / self.boot.cold
-        return self.boot.cold_from + (1 - self.boot.cold_from) * min(age, 1.0)
+        age = (self.now - self.started.get(backend, 0)) / self.bootstrap.warm_up_time
+        return self.bootstrap.cold_start_capacity + (1 - self.bootstrap.cold_start_capacity) * min(age, 1.0)
 
     def loads(self):
         """What each backend is brought, in shares of what it would be brought at its age if all were loaded alike."""
         brought = {}
-        for p in self.since:
-            held = {name: w for name, w in self.proxies[p].tables["read"].items() if name not in self.proxies[p].shut}
+        for p in self.joined_at:
+            held = {
+                name: w for name, w in self.proxies[p].tables["read"].items() if name not in self.proxies[p].withdrawn
+            }
             for name, w in held.items():
                 brought[int(name[2:])] = brought.get(int(name[2:]), 0.0) + w / sum(held.values())
         able = sum(self.warmth(b) for b, state in self.state.items() if state == "running")
-        return {b: part / len(self.since) * able / self.warmth(b) for b, part in brought.items()}
+        return {b: part / len(self.joined_at) * able / self.warmth(b) for b, part in brought.items()}
 
     def check(self):
         super().check()
@@ -59,11 +61,11 @@
     """Cold backends come, then all old ones of some homes leave at once, while proxies of other coordinators join."""
     going = [b for b, home in sorted(fleet.planner.homes.items()) if home in homes]
     fresh = [80 + i for i in range(len(going))]
-    fleet.list(dict.fromkeys(fresh, "running"), cold=fresh)
-    fleet.play(1)
+    fleet.list_backends(dict.fromkeys(fresh, "running"), cold=fresh)
+    fleet.run_for(1)
     for p in range(200 - joining, 200):
         fleet.join(p, 7 * p)
-    fleet.list(dict.fromkeys(going, "draining"))
+    fleet.list_backends(dict.fromkeys(going, "draining"))
 
 
 @pytest.mark.parametrize("homes", [(3, 4), (3, 4, 5), (0, 2, 3, 7, 8, 9)])
@@ -71,12 +73,12 @@
     fleet = ColdFleet(80)
     for p in range(200):
         fleet.join(p, 7 * p)
-    fleet.play(12)
+    fleet.run_for(12)
     release(fleet, homes)
-    fleet.play(8)
+    fleet.run_for(8)
     print(homes, fleet.longest_over(), max(fleet.loads().values()), sorted(map(len, fleet.planner.tables.values())))
-    assert fleet.longest_over() < 1.5 and fleet.peak <= fleet.boot.backlog
-    assert fleet.worst <= fleet.boot.grace
+    assert fleet.longest_over() < 1.5 and fleet.max_queued_lines <= fleet.bootstrap.backlog
+    assert fleet.max_withdrawal_delay <= fleet.bootstrap.grace
 
 
 @pytest.mark.parametrize("homes", [(3, 4), (0, 2, 3, 7, 8, 9)])
@@ -84,44 +86,44 @@
     fleet = ColdFleet(80)
     for p in range(60):
         fleet.join(p, 7 * p)
-    fleet.play(12)
+    fleet.run_for(12)
     release(fleet, homes, joining=140)
-    fleet.play(10)
+    fleet.run_for(10)
     print(homes, fleet.longest_over(), max(fleet.loads().values()), sorted(map(len, fleet.planner.tables.values())))
-    assert fleet.longest_over() < 1.5 and fleet.peak <= fleet.boot.backlog
-    assert fleet.worst <= fleet.boot.grace + 3 * SECOND // 10
+    assert fleet.longest_over() < 1.5 and fleet.max_queued_lines <= fleet.bootstrap.backlog
+    assert fleet.max_withdrawal_delay <= fleet.bootstrap.grace + 3 * SECOND // 10
 
 
-def weights(scene, cold):
+def weights(harness, cold):
     """The cold backend's weight, of the mean of the others, over what is stated for its age: the highest of all."""
     parts = []
-    for lines in scene.planner.tables.values():
+    for lines in harness.planner.tables.values():
         others = [w for b, w in lines.items() if b != cold]
-        warmth = scene.planner.warmth(scene.planner.backends[cold])
+        warmth = harness.planner.warmth(harness.planner.backends[cold])
         parts.append(lines[cold] / (sum(others) / len(others)) / warmth)
     return max(parts)
 
 
 def started_cold(**figures):
     """Four backends of a parted fleet under 40 calls a second; the last has just started again."""
-    scene = Scene(verbs=(), proxies=200, pace=100.0, backlog=6000, **figures)
-    scene.list(*((b, "running", None) for b in range(4)))
-    scene.join(1, 2)
+    harness = PlannerHarness(decisions=(), proxies=200, channel_lines_per_second=100.0, backlog=6000, **figures)
+    harness.list_backends(*((b, "running", None) for b in range(4)))
+    harness.join(1, 2)
     for _ in range(4):
-        scene.second(range(4))
-    scene.list((3, "running", 0.5), how="changes", after=0.1)
-    assert scene.planner.sections
-    return scene
+        harness.play_second(range(4))
+    harness.list_backends((3, "running", 0.5), scope="changes", after=0.1)
+    assert harness.planner.subset_count
+    return harness
 
 
-def second(scene, warm, cold, came=(10, 10)):
+def second(harness, warm, cold, demand=(10, 10)):
     """A second in which each warm backend met `warm` and the cold one `cold`: tries, losses, seconds, load."""
     met = [
-        ("met", b, 0, tries, lost, round(took * SECOND), SECOND, load)
+        ("attempts_reported", b, 0, tries, lost, round(took * SECOND), SECOND, load)
         for b, (tries, lost, took, load) in enumerate((warm, warm, warm, cold))
     ]
-    usage = [("came", p, r, n, SECOND) for p in scene.planner.proxies for r, n in enumerate(came)]
-    scene.tell(*met, *usage, after=1.0)
+    usage = [("demand_reported", p, r, n, SECOND) for p in harness.planner.proxies for r, n in enumerate(demand)]
+    harness.play_round(*met, *usage, after=1.0)
 
 
 @pytest.mark.parametrize(
@@ -135,11 +137,11 @@
 )
 def test_a_cold_backend_is_given_no_more_than_a_warm_one_whatever_it_reports(warm, cold):
     """It answers quickly, loses less than full ones or reports little load: all that says little while it warms up."""
-    scene = started_cold()
+    harness = started_cold()
     seen = []
     for _ in range(5):
-        second(scene, warm, cold)
-        seen.append(round(weights(scene, 3) * scene.planner.warmth(scene.planner.backends[3]), 2))
+        second(harness, warm, cold)
+        seen.append(round(weights(harness, 3) * harness.planner.warmth(harness.planner.backends[3]), 2))
     print(seen)
     assert max(seen) < 1.15
 
@@ -149,7 +151,7 @@
     calm, burst = started_cold(), started_cold()
     for _ in range(3):
         second(calm, (10, 0, 0.1, None), (10, 0, 0.1, None))
-        second(burst, (20, 0, 0.2, None), (6, 0, 0.2, None), came=(60, 60))
+        second(burst, (20, 0, 0.2, None), (6, 0, 0.2, None), demand=(60, 60))
     print(weights(calm, 3), weights(burst, 3))
     assert 0.75 < weights(calm, 3) < 1.15 and weights(burst, 3) < 0.5
 
@@ -159,16 +161,16 @@
     fleet = ColdFleet(80)
     for p in range(100):
         fleet.join(p, 7 * p)
-    fleet.play(8)
+    fleet.run_for(8)
 
     def tables():
         return sum(5 in lines for lines in fleet.planner.tables.values())
 
     assert tables() == 2
-    fleet.list({5: "running"}, cold=[5])
-    fleet.play(2)
+    fleet.list_backends({5: "running"}, cold=[5])
+    fleet.run_for(2)
     assert tables() == 1
-    fleet.play(18)
+    fleet.run_for(18)
     assert tables() == 2
 
 
@@ -176,14 +178,14 @@
 def test_a_burst_amid_a_release_is_turned_away_before_anything_is_slow(fresh, let_in):
     """Where no load is reported, what is asked is believed to be possible until something was slow; not while many are
     cold, as they would have fallen by then."""
-    scene = Scene(verbs=(), proxies=200, pace=100.0, backlog=6000)
-    scene.list(*((b, "running", None) for b in range(4)))
-    scene.join(1, 2)
+    harness = PlannerHarness(decisions=(), proxies=200, channel_lines_per_second=100.0, backlog=6000)
+    harness.list_backends(*((b, "running", None) for b in range(4)))
+    harness.join(1, 2)
     for _ in range(6):
-        scene.second(range(4))
-    scene.list(*((b, "running", 0.5) for b in fresh), how="changes", after=0.1)
+        harness.play_second(range(4))
+    harness.list_backends(*((b, "running", 0.5) for b in fresh), scope="changes", after=0.1)
     for _ in range(2):
-        scene.second(range(4), calls=120, came=(30, 30))
-    print(scene.planner.share, scene.planner.levels)
-    share = sum(scene.planner.share) / 2
+        harness.play_second(range(4), calls=120, demand=(30, 30))
+    print(harness.planner.share, harness.planner.levels)
+    share = sum(harness.planner.share) / 2
     assert share <= let_in and (share == 1.0 or fresh)
