--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -8,16 +8,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cranecleat.decoding import Names
+from cranecleat.decoding import IndexMap
 from cranecleat.files import format as fmt
-from cranecleat.files.choice import FILES, HOLD, LOSE, STREAM, Choice
-from cranecleat.files.disk import Disk, FencedError, FolderHeldError, Hold, do
-from cranecleat.files.format import Body, Orders, Stamp, Tables, UnusableFileError
+from cranecleat.files.choice import FILES, STREAM, STREAM_LOST_AFTER_US, STREAM_STABLE_AFTER_US, Choice
+from cranecleat.files.disk import Disk, FencedError, FolderHeldError, FolderLock, apply_step
+from cranecleat.files.format import Body, Header, Orders, Tables, UnusableFileError
 from cranecleat.files.intake import Intake
 from cranecleat.files.ledger import ABOUT, Ledger
-from cranecleat.files.recover import look
+from cranecleat.files.recover import scan_folder
 from cranecleat.files.view import View
-from folders import (
+from files_harness import (
     BAD_DISK,
     NO_SPACE,
     ROUTES,
@@ -31,9 +31,9 @@
     report,
     told,
 )
-from scene import same
+from planner_harness import assert_matches_trace
 
-STAMP = Stamp(3, 1000, 7, 6)
+STAMP = Header(3, 1000, 7, 6)
 odd = st.text(st.characters(min_codepoint=1, max_codepoint=0x2FFF), max_size=12)
 
 
@@ -52,7 +52,7 @@
         applied=(7, 7),
         typical=21.5,
     )
-    same(
+    assert_matches_trace(
         "files_format",
         b"".join([body, fmt.write_tables(tables), fmt.write_orders(orders), fmt.write_report(back)])
         .decode()
@@ -122,7 +122,7 @@
         with pytest.raises(UnusableFileError) as wrong:
             read(fmt.sealed(kind, lines))
         text.append(f"{kind} {lines[-1]!r}: {wrong.value}")
-    same("files_wrong", text)
+    assert_matches_trace("files_wrong", text)
 
 
 # Publication, step by step
@@ -148,22 +148,22 @@
         writer = Writer(folder, counted).begin().state(1)
         writer.publish()
         reader = follower(folder)
-        reader.look()
+        reader.poll()
         assert told(reader) == 1
         begun = counted.count
         counted.ask = kill_at(begun + k)
         with pytest.raises(Killed):
             writer.state(2).publish()
         writer.end()
-        reader.look()
+        reader.poll()
         fresh = follower(folder)
-        fresh.look()
+        fresh.poll()
         assert told(reader) in (1, 2) and told(fresh) in (1, 2)
         after = Writer(folder, unix=2000)
         assert after.ledger.generation >= writer.found.generation and after.found.wrong == []
         after.begin().state(3).publish()
         for one in (reader, fresh):
-            one.look()
+            one.poll()
             assert told(one) == 3, (k, one.wrong)
         assert not [name for _, _, names in os.walk(folder) for name in names if name.endswith(".new")]
         after.end()
@@ -178,23 +178,23 @@
         writer = Writer(folder, counted).begin().state(1)
         writer.publish()
         reader = follower(folder)
-        reader.look()
+        reader.poll()
         counted.ask = fail_at(counted.count + k, code)
         try:
             writer.state(2).publish()
         except OSError:
             failures += 1
-            writer.ledger.failed()
-            reader.look()
+            writer.ledger.publication_failed()
+            reader.poll()
             assert told(reader) in (1, 2)
             seen = reader.view.seen
             counted.ask = lambda n, name: None
             writer.publish()
-            reader.look()
+            reader.poll()
             assert reader.view.seen > seen or reader.view.seen == seen and told(reader) == 2
-        reader.look()
+        reader.poll()
         assert told(reader) == 2
-        assert not look(writer.disk).wrong
+        assert not scan_folder(writer.disk).wrong
         writer.end()
     assert failures > total / 2
 
@@ -215,11 +215,11 @@
 
         counted = Counted(at, only=("open", "read", "fstat", "close"))
         reader = follower(tmp_path, calls=counted)
-        reader.look()
+        reader.poll()
         assert told(reader) is None or state <= told(reader) <= state + 2, (k, reader.wrong)
         state += 2
         reader.disk.calls = Counted()
-        reader.look()
+        reader.poll()
         assert told(reader) == (state if moved else told(reader))
         if not moved:
             ends += 1
@@ -233,17 +233,17 @@
     with pytest.raises(FolderHeldError, match="n0, fence 1000"):
         Writer(tmp_path, unix=2000)
     first.publish()
-    os.close(first.hold.file)  # another machine, where the lock does not reach
+    os.close(first.lock.file)  # another machine, where the lock does not reach
     second = Writer(tmp_path, unix=900).begin().state(2)
     second.publish()
     reader = follower(tmp_path)
-    reader.look()
-    assert told(reader) == 2 and second.hold.fence == 1001
+    reader.poll()
+    assert told(reader) == 2 and second.lock.fence == 1001
     with pytest.raises(FencedError, match="fence 1001; ours is 1000"):
         first.state(3).publish()
     for step in first.ledger.steps():  # one that had looked just before it was fenced
-        do(first.disk, step)
-    reader.look()
+        apply_step(first.disk, step)
+    reader.poll()
     assert told(reader) == 2 and "where 1001 has been seen" in reader.wrong
 
 
@@ -251,19 +251,19 @@
     writer = Writer(tmp_path).begin().state(1)
     writer.publish()
     reader = follower(tmp_path)
-    reader.look()
+    reader.poll()
     for n in range(2, 12):
         writer.state(n).publish()
     assert len(os.listdir(tmp_path / "bodies")) == 11
-    reader.look()
+    reader.poll()
     for p in range(3):
-        writer.ledger.applied(p, *reader.view.force.applied, 0, 5)
+        writer.ledger.acknowledge(p, *reader.view.in_force.applied, 0, 5)
     writer.state(12).publish()
     assert len(os.listdir(tmp_path / "bodies")) <= 2
     for n in range(13, 200):  # nobody says anything any more: what is kept stays bounded
         writer.state(n).publish()
     assert len(os.listdir(tmp_path / "bodies")) <= 66
-    reader.look()
+    reader.poll()
     assert told(reader) == 199
 
 
@@ -278,12 +278,12 @@
     (tmp_path / "bodies" / ("0" * 32)).write_text("x")
     (tmp_path / "tables.new").write_text("half")
     after = Writer(tmp_path, unix=2000)
-    assert after.hold.fence > writer.hold.fence and after.found.swept == 1
+    assert after.lock.fence > writer.lock.fence and after.found.swept == 1
     assert after.found.foreign == ["notes.txt"]
-    same("files_earlier_life", [f"{path}: {wrong}" for path, wrong in sorted(after.found.wrong)])
+    assert_matches_trace("files_earlier_life", [f"{path}: {wrong}" for path, wrong in sorted(after.found.wrong)])
     after.begin().state(4).publish()
     reader = follower(tmp_path, 1)
-    reader.look()
+    reader.poll()
     assert told(reader) == 4
 
 
@@ -296,12 +296,12 @@
     reader, acted, text = follower(tmp_path / "d", kept=kept), [], []
 
     def look_at(who, what):
-        found = who.look()
+        found = who.poll()
         acted.extend(order.call for order in found)
         text.append(f"{what}: {[order.call for order in found] or 'nothing'}")
 
     look_at(reader, "no order")
-    first = writer.ledger.again(0, "new-address 17", "refused")
+    first = writer.ledger.order_retry(0, "new-address 17", "refused")
     writer.publish()
     old = (tmp_path / "d" / "orders" / "0").read_bytes()
     look_at(reader, "ordered")
@@ -310,7 +310,7 @@
     look_at(reader, "published anew, not yet acknowledged")
     reader = follower(tmp_path / "d", kept=kept)
     look_at(reader, "reader started again")
-    writer.ledger.applied(0, *reader.view.force.applied, reader.view.done, 5)
+    writer.ledger.acknowledge(0, *reader.view.in_force.applied, reader.view.done, 5)
     writer.publish()
     look_at(reader, "acknowledged")
     (tmp_path / "d" / "orders" / "0").write_bytes(old)
@@ -318,13 +318,13 @@
     look_at(follower(tmp_path / "d", kept=kept), "the same, seen by a reader that started again")
     writer.end()
     after = Writer(tmp_path / "d", unix=5000).begin().state(3)
-    second = after.ledger.again(0, "new-address 18", "unsent")
+    second = after.ledger.order_retry(0, "new-address 18", "unsent")
     after.publish()
     look_at(reader, "ordered by the writer's next life")
     (tmp_path / "d" / "orders" / "0").write_bytes(old)
     look_at(reader, "a file of its earlier life is put back")
     assert acted == ["new-address 17", "new-address 18"] and second > first
-    same("files_again", text)
+    assert_matches_trace("files_again", text)
 
 
 def test_a_reader_that_dies_before_it_acts_never_acts_twice(tmp_path):
@@ -332,7 +332,7 @@
     for k in range(1, 12):
         folder, kept = tmp_path / f"d{k}", tmp_path / f"kept{k}"
         writer = Writer(folder).begin().state(1)
-        writer.ledger.again(0, "c", "refused")
+        writer.ledger.order_retry(0, "c", "refused")
         writer.publish()
         reader, acted = follower(folder, kept=kept), []
         save = reader.save
@@ -344,18 +344,18 @@
 
         reader.save = dying
         with contextlib.suppress(Killed):
-            acted += reader.look()
-        acted += follower(folder, kept=kept).look()
-        acted += follower(folder, kept=kept).look()
+            acted += reader.poll()
+        acted += follower(folder, kept=kept).poll()
+        acted += follower(folder, kept=kept).poll()
         assert len(acted) == 1
         writer.end()
 
 
 def test_only_proof_and_only_so_many():
-    ledger = Ledger(Names(), ROUTES, 1, 1)
-    assert ledger.again(0, "c", "refused") is None  # not joined
+    ledger = Ledger(IndexMap(), ROUTES, 1, 1)
+    assert ledger.order_retry(0, "c", "refused") is None  # not joined
     ledger.join(0)
-    numbers = [ledger.again(0, f"c{i}", "refused") for i in range(ABOUT + 1)]
+    numbers = [ledger.order_retry(0, f"c{i}", "refused") for i in range(ABOUT + 1)]
     assert numbers[-1] is None and numbers[:-1] == sorted(set(numbers[:-1]))
 
 
@@ -365,50 +365,50 @@
 def test_a_mark_is_answered_by_what_is_in_force_and_a_lagging_reader_is_known(tmp_path):
     writer, text = Writer(tmp_path, proxies=2).begin(), []
     ledger = writer.ledger
-    text.append(f"bound: mark 1 concerns {sorted(ledger.mark(1))}")
+    text.append(f"bound: mark 1 concerns {sorted(ledger.request_ack(1))}")
     writer.publish()
     readers = [follower(tmp_path, p) for p in range(2)]
     for reader in readers:
-        reader.look()
+        reader.poll()
     for p, reader in enumerate(readers):
-        text.append(f"proxy {p} applies: answers {ledger.applied(p, *reader.view.force.applied, 0, 0)}")
+        text.append(f"proxy {p} applies: answers {ledger.acknowledge(p, *reader.view.in_force.applied, 0, 0)}")
     text.append("# backend 1 drains; proxy 1 stops reading for a minute")
     ledger.withdraw(1, True)
-    text.append(f"mark 2 concerns {sorted(ledger.mark(2))}")
+    text.append(f"mark 2 concerns {sorted(ledger.request_ack(2))}")
     writer.now = 10 * SECOND
     writer.publish()
-    readers[0].look()
-    text.append(f"proxy 0: {ledger.applied(0, *readers[0].view.force.applied, 0, 10 * SECOND)}")
-    ledger.line(0, 2, 5.0)
-    ledger.mark(3)
+    readers[0].poll()
+    text.append(f"proxy 0: {ledger.acknowledge(0, *readers[0].view.in_force.applied, 0, 10 * SECOND)}")
+    ledger.set_weight(0, 2, 5.0)
+    ledger.request_ack(3)
     writer.publish()
-    readers[0].look()
-    text.append(f"proxy 0: {ledger.applied(0, *readers[0].view.force.applied, 0, 11 * SECOND)}")
-    stale = ledger.applied(1, *readers[1].view.force.applied, 0, 70 * SECOND)
+    readers[0].poll()
+    text.append(f"proxy 0: {ledger.acknowledge(0, *readers[0].view.in_force.applied, 0, 11 * SECOND)}")
+    stale = ledger.acknowledge(1, *readers[1].view.in_force.applied, 0, 70 * SECOND)
     text.append(
         f"proxy 1 still says the old: {stale}, " f"lag {[lag // SECOND for lag in ledger.lags(70 * SECOND).values()]} s"
     )
-    readers[1].look()
+    readers[1].poll()
     assert "s-1" not in readers[1].view.pick_from("read")
     text.append(
-        f"proxy 1 reads on: {ledger.applied(1, *readers[1].view.force.applied, 0, 71 * SECOND)}, "
+        f"proxy 1 reads on: {ledger.acknowledge(1, *readers[1].view.in_force.applied, 0, 71 * SECOND)}, "
         f"lag {[lag // SECOND for lag in ledger.lags(71 * SECOND).values()]} s"
     )
-    text.append(f"one of another writer's life says far more: {ledger.applied(1, 10**9, 10**9, 0, 0)}")
-    same("files_marks", text)
+    text.append(f"one of another writer's life says far more: {ledger.acknowledge(1, 10**9, 10**9, 0, 0)}")
+    assert_matches_trace("files_marks", text)
 
 
 def test_a_thousand_proxies_share_bodies_and_one_line_costs_one_body_and_the_tables(tmp_path):
     writer = Writer(tmp_path, proxies=1000, sync="none").begin()
     writer.publish()
     assert len(os.listdir(tmp_path / "orders")) == 1000 and len(os.listdir(tmp_path / "bodies")) == 1
-    before = dict(writer.ledger.figures)
-    writer.ledger.line(0, 2, 7.0)
+    before = dict(writer.ledger.counters)
+    writer.ledger.set_weight(0, 2, 7.0)
     writer.publish()
-    assert writer.ledger.figures["swaps"] - before["swaps"] == 2
-    assert writer.ledger.figures["bytes"] - before["bytes"] < 600
+    assert writer.ledger.counters["swaps"] - before["swaps"] == 2
+    assert writer.ledger.counters["bytes"] - before["bytes"] < 600
     reader = follower(tmp_path, 999)
-    reader.look()
+    reader.poll()
     assert reader.view.pick_from("read")["s-2"] == 7.0
 
 
@@ -422,7 +422,7 @@
     reader = follower(folder)
 
     def look_at(what):
-        reader.look()
+        reader.poll()
         text.append(f"{what}: state {told(reader)}" + (f" ({reader.wrong})" if reader.wrong else ""))
 
     look_at("there")
@@ -442,7 +442,7 @@
     look_at("tables gone")
     other.state(6).publish()
     look_at("published again")
-    same("files_reader", [line.replace(str(tmp_path), "") for line in text])
+    assert_matches_trace("files_reader", [line.replace(str(tmp_path), "") for line in text])
 
 
 @settings(max_examples=200)
@@ -450,8 +450,8 @@
 def test_a_reader_never_goes_back(offers):
     view, last = View(0), (0, (0, 0))
     for fence, tables, orders, needs in offers:
-        told_tables = Tables(Stamp(fence, 1, tables, 0), {0: "x"}, {}, frozenset())
-        told_orders = Orders(Stamp(fence, 1, orders, 0), 0, True, needs, {"read": 0})
+        told_tables = Tables(Header(fence, 1, tables, 0), {0: "x"}, {}, frozenset())
+        told_orders = Orders(Header(fence, 1, orders, 0), 0, True, needs, {"read": 0})
         try:
             view.offer(told_orders, told_tables, lambda name: Body((("s", 1.0),)))
         except UnusableFileError:
@@ -470,7 +470,7 @@
 
 
 def intake():
-    names = Names()
+    names = IndexMap()
     names("s-1")
     return Intake({"a": 0, "b": 1}, {"read": 0, "new-address": 1}, 5, names, SECOND)
 
@@ -501,7 +501,7 @@
     taken = intake()
     take(0, "p3", life=2, beat=50, calls={"read": 90})
     take(1.0, "p3", life=2, beat=60, calls={"read": 95})
-    same("files_intake", text)
+    assert_matches_trace("files_intake", text)
 
 
 def test_reports_that_cannot_be_are_refused_one_by_one():
@@ -526,8 +526,14 @@
         with pytest.raises(UnusableFileError) as wrong:
             taken.take(SECOND, report(who, beat=2 + n, **more))
         text.append(f"{who} {more}: {wrong.value}")
-    assert taken.take(2 * SECOND, report("p1", beat=99, calls={"read": 13}))[0] == ("came", 1, 0, 3, 2 * SECOND)
-    same("files_refused", text)
+    assert taken.take(2 * SECOND, report("p1", beat=99, calls={"read": 13}))[0] == (
+        "demand_reported",
+        1,
+        0,
+        3,
+        2 * SECOND,
+    )
+    assert_matches_trace("files_refused", text)
 
 
 def test_a_clock_that_steps_back_counts_nothing_twice_and_ends_nobody():
@@ -535,7 +541,7 @@
     taken.take(100 * SECOND, report("p1", calls={"read": 1}))
     assert taken.take(10 * SECOND, report("p1", beat=2, calls={"read": 5})) == []
     assert taken.silent(10 * SECOND) == ([], [])
-    assert taken.take(101 * SECOND, report("p1", beat=3, calls={"read": 9}))[0] == ("came", 1, 0, 8, SECOND)
+    assert taken.take(101 * SECOND, report("p1", beat=3, calls={"read": 9}))[0] == ("demand_reported", 1, 0, 8, SECOND)
 
 
 # Which transport
@@ -569,7 +575,7 @@
     then(1, "stream", False)
     then(1)
     assert choice.sides == {}
-    same("files_choice", text)
+    assert_matches_trace("files_choice", text)
 
 
 @given(
@@ -586,9 +592,9 @@
             up[kind], since[kind] = standing, now
         for _, serves in choice.decide(now):
             if serves == STREAM and served == FILES and up[FILES]:
-                assert now - since[STREAM] >= HOLD
+                assert now - since[STREAM] >= STREAM_STABLE_AFTER_US
             if serves == FILES:
-                assert now - since[STREAM] >= LOSE or not up[STREAM]
+                assert now - since[STREAM] >= STREAM_LOST_AFTER_US or not up[STREAM]
             served = serves
         served = choice.serves(1)
         assert served is None or up[served]
@@ -606,7 +612,7 @@
     def at(_, name):
         if chance.random() < 0.1:
             reader = chance.choice(readers)
-            reader.look()
+            reader.poll()
             state = told(reader)
             assert state is None or n - 1 <= state <= n
             seen.add(state)
@@ -620,6 +626,6 @@
 def test_the_lock_goes_with_its_holder(tmp_path):
     disk = Disk(tmp_path)
     disk.prepare()
-    first = Hold(disk, "n0", 10)
+    first = FolderLock(disk, "n0", 10)
     first.release()
-    assert Hold(disk, "n1", 5).fence == 11
+    assert FolderLock(disk, "n1", 5).fence == 11
--- a/tests/test_files_daemon.py
+++ b/tests/test_files_daemon.py
@@ -17,10 +17,10 @@
 from cranecleat.decoding import MalformedError
 from cranecleat.files.disk import OWNER, Disk, write_owner
 from cranecleat.files.follow import Follower
-from cranecleat.files.front import Front
-from cranecleat.operator.file import Files
-from folders import Counted, fail_at, report
-from scene import Service, chunk, same
+from cranecleat.files.front import FilesTransport
+from cranecleat.operator.file import FilesSettings
+from files_harness import Counted, fail_at, report
+from planner_harness import CoordinatorProcess, assert_matches_trace, http_chunk
 
 ROOT = Path(__file__).parent.parent
 WAIT = 20
@@ -52,7 +52,7 @@
         while not self.stopped.wait(0.02):
             if not self.still.is_set():
                 try:
-                    self.acted += [order.call for order in self.follower.look()]
+                    self.acted += [order.call for order in self.follower.poll()]
                     self.report.beat += 1
                     self.report.calls = {"read": self.report.beat // 2}
                     self.follower.report(self.report)
@@ -62,7 +62,7 @@
     def until(self, holds):
         deadline = time.monotonic() + WAIT
         while not holds(self.follower.view):
-            assert time.monotonic() < deadline, f"never: {self.follower.view.force} {self.follower.wrong}"
+            assert time.monotonic() < deadline, f"never: {self.follower.view.in_force} {self.follower.wrong}"
             time.sleep(0.01)
 
     def stop(self):
@@ -71,119 +71,121 @@
 
 
 def serves(view):
-    return view.force.active and set(view.force.lines) == {"read", "find"}
+    return view.in_force.active and set(view.in_force.weights) == {"read", "find"}
 
 
 def test_a_proxy_through_files_is_bound_hears_drains_and_survives_a_kill(place):
-    with Service(place).start() as service:
-        text = [re.sub(r"fence=\d+", "fence=N", service.log("files_open"))]
-        watch, _ = service.watch(service.list(42, s_1="active", s_2="active"))
+    with CoordinatorProcess(place).start() as service:
+        text = [re.sub(r"fence=\d+", "fence=N", service.wait_for_log("files_open"))]
+        watch, _ = service.accept_watch(service.list_backends(42, s_1="active", s_2="active"))
         proxy = Proxy(place / "d", 3)
         try:
             proxy.until(serves)
-            text += [service.log("files_serves"), f"lines: {sorted(proxy.follower.view.pick_from('read'))}"]
-            watch.sendall(chunk(service.list(43, full=False, s_1="leaving")))
-            proxy.until(lambda view: "s-1" in view.force.out)
+            text += [service.wait_for_log("files_serves"), f"lines: {sorted(proxy.follower.view.pick_from('read'))}"]
+            watch.sendall(http_chunk(service.list_backends(43, full=False, s_1="leaving")))
+            proxy.until(lambda view: "s-1" in view.in_force.withdrawn)
             text.append(f"s-1 drains: {sorted(proxy.follower.view.pick_from('read'))}")
-            proxy.until(lambda view: view.force.applied[0] > 0)
+            proxy.until(lambda view: view.in_force.applied[0] > 0)
             service.process.kill()
-            service.ended()
+            service.wait_for_exit()
             assert sorted(proxy.follower.view.pick_from("read")) == ["s-2"]
             fence = proxy.follower.view.fence
-            service.told["known"] = service.list(43, s_1="leaving", s_2="active")
+            service.configuration["known"] = service.list_backends(43, s_1="leaving", s_2="active")
             service.start()
-            text.append(re.sub(r"(fence|generation|bodies)=\d+", r"\1=N", service.log("files_open")))
+            text.append(re.sub(r"(fence|generation|bodies)=\d+", r"\1=N", service.wait_for_log("files_open")))
             proxy.until(lambda view: view.fence > fence and serves(view))
             text.append(f"after a kill: {sorted(proxy.follower.view.pick_from('read'))}")
             proxy.still.set()
-            text.append(service.log("files_silent"))
+            text.append(service.wait_for_log("files_silent"))
             proxy.still.clear()
-            proxy.until(lambda view: view.force.active)
-            text.append(service.log("files_serves.*by=files"))
+            proxy.until(lambda view: view.in_force.active)
+            text.append(service.wait_for_log("files_serves.*by=files"))
         finally:
             proxy.stop()
-    same("files_daemon", [line.replace(str(place), "") for line in text])
+    assert_matches_trace("files_daemon", [line.replace(str(place), "") for line in text])
 
 
 def test_a_proxy_goes_over_to_files_when_its_stream_ends_and_back_when_one_has_stood(place):
-    with Service(place).start() as service:
-        watch, _ = service.watch(service.list(42, s_1="active", s_2="active"))
-        stream, proxy = service.dial("attach node=3 locality=a w=6.5 cold=1"), Proxy(place / "d", 3)
+    with CoordinatorProcess(place).start() as service:
+        watch, _ = service.accept_watch(service.list_backends(42, s_1="active", s_2="active"))
+        stream, proxy = service.connect("attach node=3 locality=a w=6.5 cold=1"), Proxy(place / "d", 3)
         try:
-            service.read(stream, rb"stamp=(\d+)\r\n")
-            assert not proxy.follower.view.force.active
+            service.read_until(stream, rb"stamp=(\d+)\r\n")
+            assert not proxy.follower.view.in_force.active
             stream.close()
-            text = [service.log("connection_ended.*proxy"), service.log("files_serves.*by=files")]
+            text = [service.wait_for_log("connection_ended.*proxy"), service.wait_for_log("files_serves.*by=files")]
             proxy.until(serves)
-            watch.sendall(chunk(service.list(43, full=False, s_2="leaving")))
-            proxy.until(lambda view: "s-2" in view.force.out)
-            stream = service.dial("attach node=3 locality=a w=6.5 cold=0")
-            text.append(service.log("files_stream_waits"))
-            text.append(service.log("files_serves.*by=stream"))
-            orders = service.read(stream, rb"stamp=(\d+)\r\n")
+            watch.sendall(http_chunk(service.list_backends(43, full=False, s_2="leaving")))
+            proxy.until(lambda view: "s-2" in view.in_force.withdrawn)
+            stream = service.connect("attach node=3 locality=a w=6.5 cold=0")
+            text.append(service.wait_for_log("files_stream_waits"))
+            text.append(service.wait_for_log("files_serves.*by=stream"))
+            orders = service.read_until(stream, rb"stamp=(\d+)\r\n")
             text.append(f"what drained meanwhile: {'drop=s-2' in orders or 's-2:' not in orders}")
             assert "replace=1" in orders
-            proxy.until(lambda view: not view.force.active)
+            proxy.until(lambda view: not view.in_force.active)
             text.append("no proxy obeys both: its orders say active 0")
-            assert service.answers()
+            assert service.responds()
         finally:
             proxy.stop()
-    same("files_over_and_back", text)
+    assert_matches_trace("files_over_and_back", text)
 
 
 def test_a_second_coordinator_on_the_folder_does_not_start(place, tmp_path):
     (tmp_path / "second").mkdir()
-    with Service(place).start() as service:
-        service.log("serving")
-        with Service(tmp_path / "second").start() as second:
-            code, errors = second.ended()
+    with CoordinatorProcess(place).start() as service:
+        service.wait_for_log("serving")
+        with CoordinatorProcess(tmp_path / "second").start() as second:
+            code, errors = second.wait_for_exit()
     assert code == 2 and re.fullmatch(r"cranecleat: \S+/d is held by another coordinator: n0, fence \d+\n", errors)
 
 
 def test_a_folder_that_cannot_be_written_in_service_is_said_and_made_good(place):
-    with Service(place).start() as service:
-        watch, _ = service.watch(service.list(42, s_1="active", s_2="active"))
+    with CoordinatorProcess(place).start() as service:
+        watch, _ = service.accept_watch(service.list_backends(42, s_1="active", s_2="active"))
         proxy = Proxy(place / "d", 3)
         try:
             proxy.until(serves)
             bodies = place / "d" / "bodies"
             bodies.rename(place / "kept")
             bodies.write_text("in the way")
-            watch.sendall(chunk(service.list(43, full=False, s_3="active")))
-            text = [service.log("files_unwritten")]
-            assert service.answers() and serves(proxy.follower.view)
+            watch.sendall(http_chunk(service.list_backends(43, full=False, s_3="active")))
+            text = [service.wait_for_log("files_unwritten")]
+            assert service.responds() and serves(proxy.follower.view)
             bodies.unlink()
             (place / "kept").rename(bodies)
             proxy.until(lambda view: "s-3" in view.pick_from("read"))
             (place / "d" / "back" / "p1").symlink_to("/etc/hostname")
-            text.append(service.log("files_spoilt"))
+            text.append(service.wait_for_log("files_spoilt"))
         finally:
             proxy.stop()
-    same("files_made_good", [re.sub(r"count=\d+", "count=N", line) for line in text])
+    assert_matches_trace("files_made_good", [re.sub(r"count=\d+", "count=N", line) for line in text])
 
 
 def test_one_that_is_fenced_gives_its_proxies_back_to_their_streams(place):
-    with Service(place).start() as service:
-        watch, _ = service.watch(service.list(42, s_1="active"))
+    with CoordinatorProcess(place).start() as service:
+        watch, _ = service.accept_watch(service.list_backends(42, s_1="active"))
         proxy = Proxy(place / "d", 3)
         try:
             proxy.until(serves)
             disk = Disk(place / "d", "none")
             disk.replace(write_owner(proxy.follower.view.fence + 10, 1, "n9"), OWNER)
-            watch.sendall(chunk(service.list(43, full=False, s_2="active")))
-            text = [re.sub(r"fence \d+|ours is \d+|/\S+/", "N", service.log("files_fenced"))]
-            stream = service.dial("attach node=3 locality=a w=6.5 cold=0")
-            assert "replace=1" in service.read(stream, rb"stamp=(\d+)\r\n") and service.answers()
+            watch.sendall(http_chunk(service.list_backends(43, full=False, s_2="active")))
+            text = [re.sub(r"fence \d+|ours is \d+|/\S+/", "N", service.wait_for_log("files_fenced"))]
+            stream = service.connect("attach node=3 locality=a w=6.5 cold=0")
+            assert "replace=1" in service.read_until(stream, rb"stamp=(\d+)\r\n") and service.responds()
         finally:
             proxy.stop()
-    same("files_fenced", text)
+    assert_matches_trace("files_fenced", text)
 
 
 @pytest.mark.parametrize("code", [errno.EROFS, errno.ENOSPC, errno.EACCES])
 def test_a_folder_that_cannot_be_written_at_the_start_is_one_clear_line(tmp_path, code):
-    hub = SimpleNamespace(station=SimpleNamespace(name="n0"))
+    coordinator = SimpleNamespace(configuration=SimpleNamespace(name="n0"))
     with pytest.raises(MalformedError, match="`folder` in the operator's file names it") as wrong:
-        Front(hub, Files(tmp_path / "d", "none", 1, 1, 1), Counted(fail_at(1, code), only=("open",)))
+        FilesTransport(
+            coordinator, FilesSettings(tmp_path / "d", "none", 1, 1, 1), Counted(fail_at(1, code), only=("open",))
+        )
     assert os.strerror(code) in str(wrong.value)
 
 
@@ -200,8 +202,8 @@
         return done.returncode, done.stdout + done.stderr
 
     folder = str(place / "d")
-    with Service(place).start() as service:
-        service.watch(service.list(42, s_1="active"))
+    with CoordinatorProcess(place).start() as service:
+        service.accept_watch(service.list_backends(42, s_1="active"))
         proxy = Proxy(place / "d", 3)
         try:
             proxy.until(serves)
@@ -216,7 +218,7 @@
         finally:
             proxy.stop()
         service.process.send_signal(signal.SIGTERM)
-        assert service.ended()[0] == 0
+        assert service.wait_for_exit()[0] == 0
     shown = "\n".join(text).replace(folder, "HERE")
     shown = re.sub(r"(fence|life|generation|s-1|yes +\d+ +|yes +) ?\d+(\.\d+)?", r"\1 N", shown)
-    same("files_commands", [re.sub(r"yes.*?find", "yes ... find", line) for line in shown.split("\n")])
+    assert_matches_trace("files_commands", [re.sub(r"yes.*?find", "yes ... find", line) for line in shown.split("\n")])
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from scene import INFO, Service, chunk
-from test_orders import Proxy
+from planner_harness import SETTINGS, CoordinatorProcess, http_chunk
+from test_stream_messages import SimulatedProxy
 
 BACKENDS, PROXIES, WAIT = 1024, 1600, 100  # seconds for any event
 PULSE = 1.0  # seconds; without a byte for three the coordinator dials its watch anew
@@ -22,10 +22,10 @@
     def __init__(self, service, count):
         self.ready, self.held, self.half = selectors.DefaultSelector(), {}, {}
         for p in range(count):
-            stream = service.dial(f"attach node={p} locality={'ab'[p % 2]} w=1.5 cold=1")
+            stream = service.connect(f"attach node={p} locality={'ab'[p % 2]} w=1.5 cold=1")
             stream.setblocking(False)
             self.ready.register(stream, selectors.EVENT_READ, p)
-            self.held[p], self.half[p] = Proxy(), b""
+            self.held[p], self.half[p] = SimulatedProxy(), b""
 
     def until(self, done, act=lambda: None):
         """Serves the streams until `done`; `act` is called each time."""
@@ -47,7 +47,7 @@
 
     def names(self, p):
         one = self.held[p]
-        return set().union(*one.tables.values()) - one.shut
+        return set().union(*one.tables.values()) - one.withdrawn
 
 
 def peak(process):
@@ -60,7 +60,7 @@
         pytest.skip("too few descriptors on this machine")
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, 2 * PROXIES + 200), hard))
-    settings = copy.deepcopy(INFO)
+    settings = copy.deepcopy(SETTINGS)
     settings["groupSize"] = 5
     settings["requestClasses"][1].update(onlyKinds=[], onlyZones=[])
     settings["specifics"].update(proxyCount=PROXIES, egressPerS=5000.0, backlog=50600.0, perMessage=10.0)
@@ -68,10 +68,12 @@
     old, new = [{f"{kind}_{b:04d}": "active" for b in range(BACKENDS)} for kind in "on"]
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 4096}
     peers = [f"10.3.{n // 250}.{n % 250 + 1}:7946" for n in range(256)]
-    with Service(tmp_path, settings=settings, limits=limits, peers=peers, peers_all="10.3.255.1:7946") as service:
-        service.told["known"] = service.list(41, **old)
+    with CoordinatorProcess(
+        tmp_path, settings=settings, limits=limits, peers=peers, peers_all="10.3.255.1:7946"
+    ) as service:
+        service.configuration["known"] = service.list_backends(41, **old)
         service.start()
-        watch, _ = service.watch(service.list(42, **old))
+        watch, _ = service.accept_watch(service.list_backends(42, **old))
         crowd = Crowd(service, PROXIES)
         pulsed = [time.monotonic()]
 
@@ -84,14 +86,14 @@
 
         crowd.until(lambda: all(map(crowd.names, crowd.held)), act=attend)
         assert max(len(crowd.names(p)) for p in crowd.held) <= 30, "sections, not full tables"
-        spoilers = [service.dial("telemetry locality=a") for _ in range(4)]
+        spoilers = [service.connect("telemetry locality=a") for _ in range(4)]
         for second in range(7):
             part = slice(second * BACKENDS // 7, (second + 1) * BACKENDS // 7)
             for spoiler in spoilers:  # a report that cannot be used, strangers, half a message
                 spoiler.sendall(b"upstream_stats locality=zz endpoint=s-1 total=-1\r\n" * 20)
-                service.dial("GET / HTTP/1.1")
+                service.connect("GET / HTTP/1.1")
             entries = {**dict(list(new.items())[part]), **dict.fromkeys(list(old)[part], "leaving")}
-            watch.sendall(chunk(service.list(43 + second, full=False, **entries)))
+            watch.sendall(http_chunk(service.list_backends(43 + second, full=False, **entries)))
             begun = time.monotonic()
             crowd.until(lambda begun=begun: time.monotonic() > begun + 1, act=attend)
         crowd.until(
--- a/tests/test_gossip_peers.py
+++ b/tests/test_gossip_peers.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 
 from cranecleat.gossip import keys, seal, wire
-from cranecleat.gossip.bridge import key_of
-from cranecleat.gossip.roster import number
+from cranecleat.gossip.bridge import backend_key
+from cranecleat.gossip.roster import member_number
 from cranecleat.gossip.seal import Signer
-from cranecleat.operator.file import read
-from peers import couriers, secret, until, write_key
-from scene import Service, same
+from cranecleat.operator.file import read_operator_file
+from gossip_harness import couriers, secret, until, write_key
+from planner_harness import CoordinatorProcess, assert_matches_trace
 
 ROOT = Path(__file__).parent.parent
 
@@ -37,28 +37,28 @@
         group = await couriers(tmp_path, 20)
         forger, liar = group[18], group[19]
         await until(lambda: all(alive(one) >= 19 for one in group))
-        liar.hub.planner.missing = {b: 15.0 for b in range(6)}
+        liar.coordinator.planner.missing = {b: 15.0 for b in range(6)}
         forged = 0
         for victim in group[:5]:
             for name in ("n5", "n6", "n7", "n8"):
                 forged += 1
                 as_other(forger, name, victim, 1000 + forged)
         for one in group[:16]:
-            one.hub.planner.missing = {2: 6.0}
+            one.coordinator.planner.missing = {2: 6.0}
         honest = group[16:18]
-        await until(lambda: all(one.hub.doubts.get(2, 0.0) > 2.0 for one in honest))
-        others = {b for one in group[:18] for b, missing in one.hub.doubts.items() if missing and b != 2}
+        await until(lambda: all(one.coordinator.doubts.get(2, 0.0) > 2.0 for one in honest))
+        others = {b for one in group[:18] for b, missing in one.coordinator.doubts.items() if missing and b != 2}
         refused = sum(
             one.agent.refused[wire.Refused.SIGNATURE] + one.agent.refused[wire.Refused.STRANGER] for one in group[:5]
         )
         text = [f"backends that anybody counts beside 2: {sorted(others)}", f"forged and refused: {refused}/{forged}"]
         for one in group[:16]:
-            one.hub.planner.missing = {}
-        await until(lambda: all(one.hub.doubts.get(2, 0.0) < 2.0 for one in honest))
+            one.coordinator.planner.missing = {}
+        await until(lambda: all(one.coordinator.doubts.get(2, 0.0) < 2.0 for one in honest))
         text.append("it answers again: no longer counted")
         text.append(f"anybody dead: {sorted({who for one in group for who in one.agent.members.of('dead')})}")
         close(group)
-        same("gossip_twenty", text)
+        assert_matches_trace("gossip_twenty", text)
 
     asyncio.run(play())
 
@@ -67,11 +67,11 @@
     """A datagram in another's name: signed with the forger's key, and sent from the forger's address."""
     agent = forger.agent
     claim = wire.pack_statement(
-        number(name), agent.life, 0, 9999, False, [(key_of(f"s-{b}", 0), 255, 0) for b in range(6)]
+        member_number(name), agent.life, 0, 9999, False, [(backend_key(f"s-{b}", 0), 255, 0) for b in range(6)]
     )
     claim += agent.signer.sign(seal.STATEMENT, agent.roster.digest, claim)
-    head = wire.Head(
-        agent.roster.tag, number(name), victim.agent.roster.me, agent.life, counter, wire.Kind.RUMOUR, 0, 0, 0
+    head = wire.Header(
+        agent.roster.tag, member_number(name), victim.agent.roster.me, agent.life, counter, wire.Kind.RUMOUR, 0, 0, 0
     )
     data = wire.pack(head, (), claim)
     data += agent.signer.sign(seal.DATAGRAM, agent.roster.digest, data)
@@ -83,11 +83,13 @@
         group = await couriers(tmp_path, 3)
         await until(lambda: all(alive(one) == 2 for one in group))
         bearer, victim = group[1].agent, group[0]
-        claim = wire.pack_statement(number("n2"), bearer.life + 1, 0, 9, False, [(key_of("s-1", 0), 255, 0)])
+        claim = wire.pack_statement(
+            member_number("n2"), bearer.life + 1, 0, 9, False, [(backend_key("s-1", 0), 255, 0)]
+        )
         claim += bearer.signer.sign(seal.STATEMENT, bearer.roster.digest, claim)
         bearer.counter += 1
         data = wire.pack(
-            wire.Head(
+            wire.Header(
                 bearer.roster.tag,
                 bearer.roster.me,
                 victim.agent.roster.me,
@@ -104,7 +106,7 @@
         data += bearer.signer.sign(seal.DATAGRAM, bearer.roster.digest, data)
         group[1].send([(victim.section.listen, data)])
         await until(lambda: victim.agent.refused["statement"] == 1)
-        held = victim.agent.claims.held.get(number("n2"))
+        held = victim.agent.claims.latest.get(member_number("n2"))
         assert held is None or not held.statement.entries
         close(group)
 
@@ -119,7 +121,7 @@
         await until(lambda: all(alive(one) == 2 for one in group))
         victim, taken = group[0], []
         taken = group[1].agent.send(
-            group[1].hub.clock.now(), group[1].agent.rumours, victim.agent.roster.me, wire.Kind.RUMOUR
+            group[1].coordinator.clock.now(), group[1].agent.rumour_bucket, victim.agent.roster.me, wire.Kind.RUMOUR
         )[0][1]
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         before, sent = victim.agent.counts["received"], 0
@@ -134,10 +136,10 @@
         assert refused[wire.Refused.LENGTH] >= 100 and refused[wire.Refused.SIGNATURE] == 0
         assert victim.agent.counts["received"] - before <= sent + 200
         assert all(alive(one) == 2 for one in group)
-        victim.hub.planner.missing = {1: 5.0}
+        victim.coordinator.planner.missing = {1: 5.0}
         await until(
             lambda: all(
-                key_of("s-1", 0) in {k for k, *_ in one.agent.claims.held[number("n0")].statement.entries}
+                backend_key("s-1", 0) in {k for k, *_ in one.agent.claims.latest[member_number("n0")].statement.entries}
                 for one in group[1:]
             )
         )
@@ -154,7 +156,7 @@
 
         def change(member_change):
             for one in group:
-                one.follow(
+                one.reload(
                     replace(
                         one.section,
                         members=tuple(member_change(m) if m.name == "n1" else m for m in one.section.members),
@@ -163,14 +165,14 @@
 
         change(lambda m: replace(m, keys=(*m.keys, fresh.public)))
         write_key(tmp_path / "n1.key", secret("fresh"))
-        group[1].follow(group[1].section)
+        group[1].reload(group[1].section)
         change(lambda m: replace(m, keys=m.keys[1:]))
-        spoken = group[0].agent.door.windows[number("n1")].top
-        await until(lambda: group[0].agent.door.windows[number("n1")].top > spoken + 2)
+        spoken = group[0].agent.door.windows[member_number("n1")].top
+        await until(lambda: group[0].agent.door.windows[member_number("n1")].top > spoken + 2)
         assert all(alive(one) == 3 for one in group)
         group[3].close()
         for one in group[:3]:
-            one.follow(replace(one.section, members=one.section.members[:3]))
+            one.reload(replace(one.section, members=one.section.members[:3]))
         assert all(len(one.agent.members.standing) == 2 for one in group[:3])
         close(group)
 
@@ -230,19 +232,19 @@
     try:
         for name in ("n0", "n1"):
             monkeypatch.setenv("CRANECLEAT_OPERATOR", str(operators_file(tmp_path, where, name)))
-            service = Service(tmp_path / name, name=name).start()
+            service = CoordinatorProcess(tmp_path / name, name=name).start()
             services.append(service)
-            text.append(re.sub(r" life=\d+", "", service.log("gossip_open")))
+            text.append(re.sub(r" life=\d+", "", service.wait_for_log("gossip_open")))
         for service, other in zip(services, ("n1", "n0"), strict=True):
-            text.append(service.log(f"gossip_member.*who={other}"))
+            text.append(service.wait_for_log(f"gossip_member.*who={other}"))
         operators_file(tmp_path, where, "n0", extra='rate "lots"')
         services[0].process.send_signal(signal.SIGHUP)
-        text.append(services[0].log("reload_failed"))
+        text.append(services[0].wait_for_log("reload_failed"))
         operators_file(tmp_path, where, "n0", count=2, extra='rate "9KiB"')
         services[0].process.send_signal(signal.SIGHUP)
-        text.append(services[0].log("gossip_reloaded"))
+        text.append(services[0].wait_for_log("gossip_reloaded"))
         services[1].process.send_signal(signal.SIGTERM)
-        text.append(services[0].log("gossip_member.*who=n1"))
+        text.append(services[0].wait_for_log("gossip_member.*who=n1"))
         for _ in range(100):
             code, out, _ = command("gossip", "status", str(tmp_path / "n0.json"))
             if re.search(r"^n1 +left ", out, re.MULTILINE):
@@ -253,7 +255,9 @@
     finally:
         for service in services:
             service.__exit__()
-    same("gossip_daemons", [re.sub(r"127.0.0.1:\d+", "HERE", re.sub(r"/\S*/", "", line)) for line in text])
+    assert_matches_trace(
+        "gossip_daemons", [re.sub(r"127.0.0.1:\d+", "HERE", re.sub(r"/\S*/", "", line)) for line in text]
+    )
 
 
 def test_an_operators_file_with_mistakes_says_where_and_what_instead(tmp_path):
@@ -282,7 +286,7 @@
         code, out, errors = command("check", str(path), "--name", "n0")
         text += [f"# {old!r} -> {new!r}: {code}", *(out + errors).replace(str(tmp_path) + "/", "").strip().split("\n")]
     text += ["# no file", command("check", str(tmp_path / "none.kdl"))[2].replace(str(tmp_path) + "/", "").strip()]
-    same("operator_mistakes", [re.sub(r"'[A-Za-z0-9+/!]{40,}=*'", "'...'", line) for line in text])
+    assert_matches_trace("operator_mistakes", [re.sub(r"'[A-Za-z0-9+/!]{40,}=*'", "'...'", line) for line in text])
 
 
 def test_keys_are_made_shown_held_against_a_roster_and_never_overwritten(tmp_path):
@@ -302,11 +306,11 @@
     ):
         code, _, errors = command(*words)
         text.append(f"{' '.join(words[:2])}: {code} {errors.strip()}")
-    same("gossip_keys", [line.replace(str(tmp_path) + "/", "") for line in text])
+    assert_matches_trace("gossip_keys", [line.replace(str(tmp_path) + "/", "") for line in text])
 
 
 def test_the_example_file_is_right_and_the_daemon_without_one_imports_nothing_of_it():
-    assert read(ROOT / "deploy" / "operator.kdl", "n0").gossip.group == "example"
+    assert read_operator_file(ROOT / "deploy" / "operator.kdl", "n0").gossip.group == "example"
     code = (
         "import sys; import cranecleat.service.run; "
         "bad = [m for m in sys.modules if m.split('.')[0] in ('cryptography', 'kdl', 'typer', 'numpy')"
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from cranecleat.decoding import Names
-from cranecleat.memory.pool import HalfRead, Pool, PoolExhaustedError
+from cranecleat.decoding import IndexMap
+from cranecleat.memory.pool import BufferPool, PoolExhaustedError, ReceiveBuffer
 from cranecleat.protocol import http, lines, registry
-from cranecleat.protocol.limits import HEAD
+from cranecleat.protocol.limits import MAX_HTTP_HEAD_BYTES
 from cranecleat.protocol.reasons import ProtocolError
-from scene import same
+from planner_harness import assert_matches_trace
 
 ZONES, KINDS = {"a": 0, "b": 1}, {"big": 0, "small": 1}
 LINES = (
@@ -49,24 +49,24 @@
 
 
 def reader():
-    backends = Names()
+    backends = IndexMap()
     backends("s-1")
-    read = lines.Reader(ZONES, {"read": 0, "find": 1}, 8, backends, 1_000_000, 5_000_000)
-    read.typical = 20.0
+    read = lines.MessageDecoder(ZONES, {"read": 0, "find": 1}, 8, backends, 1_000_000, 5_000_000)
+    read.typical_rate = 20.0
     return read
 
 
 def understood(line):
-    words = lines.Words(*lines.parse(line))
+    words = lines.Message(*lines.parse_line(line))
     return f"{words.kind} {getattr(reader(), words.kind)(words) if words.kind != 'hb' else ''}".strip()
 
 
 def through(pieces, take, pool):
     """Feeds pieces through half-read buffers as a connection does; returns what was made of them."""
-    half, made = HalfRead(pool), []
+    half, made = ReceiveBuffer(pool), []
     for piece in pieces:
         while piece:
-            room = half.room()
+            room = half.writable()
             fits = piece[: len(room)]
             room[: len(fits)] = fits
             half.filled += len(fits)
@@ -74,7 +74,7 @@
             data = half.unread()
             found, used = take(data)
             made += found
-            half.keep(data[used:])
+            half.retain(data[used:])
     return made, half
 
 
@@ -84,11 +84,11 @@
 
 
 def test_lines_are_the_same_under_every_cut():
-    pool = Pool(16, 40)
+    pool = BufferPool(16, 40)
     for pieces in cuts(LINES):
-        found, half = through(pieces, lines.split, pool)
-        assert found == LINES.split(b"\r\n")[:-1] and half.buffers == [] and pool.out == 0
-    same("lines", [understood(line) for line in found])
+        found, half = through(pieces, lines.split_lines, pool)
+        assert found == LINES.split(b"\r\n")[:-1] and half.buffers == [] and pool.in_use == 0
+    assert_matches_trace("lines", [understood(line) for line in found])
 
 
 def test_what_is_no_line_is_told_apart():
@@ -138,26 +138,26 @@
         with pytest.raises(ProtocolError) as wrong:
             understood(line)
         text.append(f"{type(wrong.value).__name__:10} {wrong.value.reason.value:13} {wrong.value}")
-    same("lines_malformed", text)
+    assert_matches_trace("lines_malformed", text)
 
 
 def test_what_has_come_of_a_message_shows_whether_it_can_become_one():
     for start in (b"", b"u", b"upstream_stat", b"upstream_stats", b"hb", b"hb ", b"done nod"):
-        lines.begun(start)
+        lines.check_prefix(start)
     for start in (b"\x93", b"GET", b"hbx", b"upstream_statz", b" hb", b"done="):
         with pytest.raises(ProtocolError):
-            lines.begun(start)
+            lines.check_prefix(start)
 
 
 def test_answers_are_the_same_under_every_cut():
-    pool = Pool(16, 40)
+    pool = BufferPool(16, 40)
     for stream, wanted in ((CHUNKED, [BODY[:-1], b"", b""]), (FIXED, [BODY[:-1]])):
         for pieces in cuts(stream):
-            answer, body = http.Answer(), registry.Lines()
-            found, _ = through(pieces, answer.take, pool)
-            assert answer.ended and pool.out == 0
-            assert [line for piece in found for line in body.take(piece)] + body.rest() == wanted
-    same("list", [str(registry.decode(json.loads(BODY), ZONES, KINDS))])
+            answer, body = http.ResponseParser(), registry.LineSplitter()
+            found, _ = through(pieces, answer.feed, pool)
+            assert answer.complete and pool.in_use == 0
+            assert [line for piece in found for line in body.feed(piece)] + body.flush() == wanted
+    assert_matches_trace("list", [str(registry.decode_list(json.loads(BODY), ZONES, KINDS))])
 
 
 def test_what_is_no_answer_is_told_apart():
@@ -174,12 +174,12 @@
         ok + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
         ok + b"Transfer-Encoding: chunked\r\n\r\n123456789\r\n",
         ok + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n",
-        ok + b"X: " + b"y" * HEAD,
+        ok + b"X: " + b"y" * MAX_HTTP_HEAD_BYTES,
     ]
     text = []
     for stream in bad:
         with pytest.raises(ProtocolError) as wrong:
-            http.Answer().take(stream)
+            http.ResponseParser().feed(stream)
         text.append(f"{wrong.value.reason.value:13} {wrong.value}")
     changes = (
         {"uid": None},
@@ -196,23 +196,23 @@
     )
     for change in changes:
         whole = {"rev": 1, "all": True, "targets": [{**ENTRY, **change}, ENTRY]}
-        _, _, good, wrong = registry.decode(whole, ZONES, KINDS)
+        _, _, good, wrong = registry.decode_list(whole, ZONES, KINDS)
         assert len(good) == 1
         text.append(f"entry         {wrong}")
     for entry in ([], None, {}, {"rev": True, "all": True, "targets": []}, {"rev": 1, "all": True, "targets": 5}):
         with pytest.raises(ProtocolError) as wrong:
-            registry.decode(entry, ZONES, KINDS)
+            registry.decode_list(entry, ZONES, KINDS)
         text.append(f"{wrong.value.reason.value:13} {wrong.value}")
-    same("answers_malformed", text)
+    assert_matches_trace("answers_malformed", text)
 
 
 def test_half_read_messages_are_capped_in_all():
-    pool = Pool(16, 3)
-    halves = [HalfRead(pool) for _ in range(3)]
+    pool = BufferPool(16, 3)
+    halves = [ReceiveBuffer(pool) for _ in range(3)]
     for half in halves:
-        half.room()
+        half.writable()
         half.filled = 16
     with pytest.raises(PoolExhaustedError):
-        halves[0].room()
-    halves[1].keep(b"")
-    assert len(halves[0].room()) == 16 and pool.out == 3
+        halves[0].writable()
+    halves[1].retain(b"")
+    assert len(halves[0].writable()) == 16 and pool.in_use == 3
--- a/tests/test_recorded_days.py
+++ b/tests/test_recorded_days.py
@@ -5,7 +5,7 @@
 
 from cranecleat import policy
 from cranecleat.rehearsal.recording import DAYS, Recorder, digests, lines, play
-from scene import same
+from planner_harness import assert_matches_trace
 
 
 @pytest.fixture(scope="module")
@@ -15,19 +15,20 @@
 
 @pytest.mark.parametrize("name", DAYS)
 def test_a_recorded_day_is_decided_as_before(played, name):
-    same(f"recorded_{name}", list(digests(played[name])))
+    assert_matches_trace(f"recorded_{name}", list(digests(played[name])))
 
 
 def test_the_days_hold_what_they_are_for(played):
     """Sections in one of them alone; drains, crashes, cold starts, refusals and shut-outs in what is decided."""
     tables = {
-        name: {line.split()[4] for line in lines(rounds) if " -> line " in line} for name, rounds in played.items()
+        name: {line.split()[4] for line in lines(rounds) if " -> set_weight " in line}
+        for name, rounds in played.items()
     }
     assert len(tables["small_fleet"]) == 2 and len(tables["parted_fleet"]) > 5
     for rounds in played.values():
-        told = [call for one in rounds for call in one.calls if call.startswith("listed")]
+        told = [call for one in rounds for call in one.calls if call.startswith("backends_listed")]
         assert all(any(f"'{state}'" in call for call in told) for state in ("running", "draining", "gone"))
-    levels = [line for line in lines(played["small_fleet"]) if " -> admit " in line]
+    levels = [line for line in lines(played["small_fleet"]) if " -> set_admission " in line]
     assert any(float(line.split()[-2]) < 1.0 for line in levels)
 
 
@@ -49,12 +50,12 @@
 
 def test_a_recorder_hands_on_what_it_writes_down():
     class Writer:
-        def mark(self, number):
+        def request_ack(self, number):
             return {number}
 
     rounds = []
     recorder = Recorder(rounds, 3)
     writer = recorder.writer(Writer())
-    recorder.round(1_500_000, [("left", 7)])
-    assert writer.mark(5) == {5}
-    assert list(lines(rounds)) == ["1.500000 n3 <- left 7", "1.500000 n3 -> mark 5"]
+    recorder.round(1_500_000, [("proxy_left", 7)])
+    assert writer.request_ack(5) == {5}
+    assert list(lines(rounds)) == ["1.500000 n3 <- proxy_left 7", "1.500000 n3 -> request_ack 5"]
--- a/tests/test_stations.py
+++ b/tests/test_several_deployments.py
@@ -13,12 +13,12 @@
 from cranecleat.service.clock import Clock
 from cranecleat.service.coordinator import Coordinator
 from cranecleat.service.start import read
-from scene import INFO, Service, chunk
+from planner_harness import SETTINGS, CoordinatorProcess, http_chunk
 from test_service import HEAD, Still, say
 
 ROOT = Path(__file__).parent.parent
 OTHER = {
-    **copy.deepcopy(INFO),
+    **copy.deepcopy(SETTINGS),
     "groupSize": 3,
     "localities": ["b", "c", "a"],
     "skus": ["small", "big"],
@@ -37,7 +37,7 @@
     messagesMost=12,
 )
 ONE = {
-    **copy.deepcopy(INFO),
+    **copy.deepcopy(SETTINGS),
     "localities": ["only"],
     "skus": ["any"],
     "requestClasses": [{"name": "all", "credit": 1.0, "goalTime": 0.1, "giveUp": 0.2}],
@@ -57,19 +57,19 @@
     """One coordinator with its proxies, its collector and its watch, that goes on second by second."""
 
     def __init__(self, folder, settings):
-        with Service(folder, settings=settings) as service:
-            self.entry = service.list
+        with CoordinatorProcess(folder, settings=settings) as service:
+            self.entry = service.list_backends
             self.settings, self.names = settings, [f"{settings['localities'][0]}{n}" for n in range(5)]
-            service.told["known"] = self.list(41, **dict.fromkeys(self.names[:3], "active"))
-            service.path.write_text(json.dumps(service.told))
+            service.configuration["known"] = self.list(41, **dict.fromkeys(self.names[:3], "active"))
+            service.path.write_text(json.dumps(service.configuration))
             station = read({"BALANCER_CONFIG": str(service.path)})
         self.still, self.at = Kept(), 0
-        self.hub = Coordinator(station, Clock(self.still, 1000.0), self.still, self.failed)
-        self.hub.start()
-        self.proxies, self.watch = [], Watch(self.hub, self.hub.registry)
+        self.coordinator = Coordinator(station, Clock(self.still, 1000.0), self.still, self.failed)
+        self.coordinator.start()
+        self.proxies, self.watch = [], Watch(self.coordinator, self.coordinator.registry)
         self.watch.connection_made(Kept())
         say(self.watch, HEAD)
-        self.collector = self.hub.accept()
+        self.collector = self.coordinator.accept()
         self.collector.connection_made(Kept())
         say(self.collector, f"telemetry locality={settings['localities'][0]}\r\n".encode())
 
@@ -86,7 +86,7 @@
         """One second, in which somebody joins, a backend comes and goes, and all marks are answered."""
         self.at += 1
         zones, routes = self.settings["localities"], [c["name"] for c in self.settings["requestClasses"]]
-        proxy = self.hub.accept()
+        proxy = self.coordinator.accept()
         proxy.connection_made(Kept())
         say(
             proxy,
@@ -95,13 +95,13 @@
         )
         self.proxies.append(proxy)
         state = ("active", "leaving", "left")[self.at % 3]
-        say(self.watch, chunk(self.list(41 + self.at, full=False, **{self.names[self.at % 5]: state})))
+        say(self.watch, http_chunk(self.list(41 + self.at, full=False, **{self.names[self.at % 5]: state})))
         for n, name in enumerate(self.names):
             met = f"endpoint={name} total={9 + self.at} errors=1 rtt={30 + 40 * n} interval=700\r\n"
             say(self.collector, f"upstream_stats locality={zones[0]} {met}".encode())
         for one in self.proxies:
             if one.reason is None:
-                number = one.number
+                number = one.proxy
                 for route in routes:
                     say(
                         one,
@@ -116,7 +116,7 @@
         return [b"".join(one.transport.said) for one in self.proxies], [str(line) for line in self.still.lines]
 
 
-@pytest.mark.parametrize("one, two", [(INFO, OTHER), (OTHER, ONE), (ONE, INFO)], ids=["few", "many", "one"])
+@pytest.mark.parametrize("one, two", [(SETTINGS, OTHER), (OTHER, ONE), (ONE, SETTINGS)], ids=["few", "many", "one"])
 def test_two_deployments_in_one_process_get_what_each_gets_alone(tmp_path, one, two):
     def folder(name):
         (tmp_path / name).mkdir()
--- a/tests/test_waterfill.py
+++ b/tests/test_waterfill.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from cranecleat.policy import waterfill
-from scene import BOOT, Scene, same
+from planner_harness import BOOTSTRAP, PlannerHarness, assert_matches_trace
 
 
 def shown(rates):
@@ -17,7 +17,7 @@
         rates = waterfill([9.0, 9.0], [1.0, 1.0], thetas, {"a": 0.5, "b": 1.0})
         lines.append(f"{turn}: {shown(rates)}")
         thetas = [{e: f / sum(rate.values()) for e, f in rate.items()} for rate in rates]
-    same("waterfill_fig7", lines)
+    assert_matches_trace("waterfill_fig7", lines)
 
 
 def test_small_demands_bind_at_their_own_size_and_weights_go_first():
@@ -32,15 +32,15 @@
     ):
         capacity = {"a": 5.0, "b": 0.0 if title.startswith("a path") else 5.0}
         lines.append(f"{title}: {shown(waterfill(wants, weights, [even, even], capacity))}")
-    same("waterfill_cases", lines)
+    assert_matches_trace("waterfill_cases", lines)
 
 
 def test_a_route_of_few_backends_moves_the_others_away():
     """Route 1 may use backend 0 alone; under light load as well, route 0 leaves it the room."""
-    narrow = replace(BOOT.routes[1], kinds=frozenset({1}))
-    scene = Scene(verbs=("line", "admit"), routes=(BOOT.routes[0], narrow))
-    scene.tell(("listed", "whole", [(b, "running", 0, int(b == 0), 1.0, 0) for b in range(3)]))
-    scene.join(1, 2)
+    narrow = replace(BOOTSTRAP.routes[1], kinds=frozenset({1}))
+    harness = PlannerHarness(decisions=("set_weight", "set_admission"), routes=(BOOTSTRAP.routes[0], narrow))
+    harness.play_round(("backends_listed", "whole", [(b, "running", 0, int(b == 0), 1.0, 0) for b in range(3)]))
+    harness.join(1, 2)
     for _ in range(7):
-        scene.second([0, 1, 2], calls=42, came=(10, 10))
-    same("few_backends", scene)
+        harness.play_second([0, 1, 2], calls=42, demand=(10, 10))
+    assert_matches_trace("few_backends", harness)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -4,7 +4,7 @@
 import json
 
 from cranecleat.wirehost.host import serve
-from scene import INFO, same
+from planner_harness import SETTINGS, assert_matches_trace
 
 ENTRY = {"backend": "10.0.0.1:80", "state": "Running", "failureDomain": 1, "type": 0, "share": 1}
 
@@ -25,12 +25,12 @@
     return [*sink.getvalue().decode().splitlines(), *errors.getvalue().splitlines(), f"exit {code}"]
 
 
-def start(to="coordinator/0", info=INFO):
+def start(to="coordinator/0", info=SETTINGS):
     return [event("spawn", to, salt=1, info=info), event("rosterChange", to, scope="stale_copy", records=[ENTRY])]
 
 
 def test_a_short_life_and_events_that_are_ignored():
-    same(
+    assert_matches_trace(
         "wire_life",
         play(
             (5.0, []),
@@ -52,8 +52,8 @@
 
 
 def test_instances_share_nothing_and_a_fault_is_one_instances_own():
-    lame = {**INFO, "specifics": {"admission": "fraction", "cycle": 1.0}}
-    same(
+    lame = {**SETTINGS, "specifics": {"admission": "fraction", "cycle": 1.0}}
+    assert_matches_trace(
         "wire_faults",
         play(
             (5.0, start("coordinator/1", lame) + start("coordinator/2")),
@@ -75,4 +75,4 @@
         "\u00e9\x00",
     ):
         lines += play((1.0, []), bad)[1:]
-    same("wire_malformed", lines)
+    assert_matches_trace("wire_malformed", lines)
