--- a/cranecleat/interface.py
+++ b/cranecleat/interface.py
@@ -1,8 +1,8 @@
-"""What the planner is given at start, and what it writes its decisions into.
+"""What the planner is given at its start, and the interface through which it writes its decisions.
 
-Times are whole microseconds; backends, proxies, routes, zones and kinds are small indices.
-A front (such as `cranecleat.wirehost`) decodes its own protocol into `Bootstrap` and into plain
-calls of the planner, and implements `Writer`. Nothing here decides anything.
+Times are whole microseconds; backends, proxies, routes, zones and kinds are small indices. A transport, such as
+`cranecleat.wirehost`, decodes its own protocol into `Bootstrap` and into events of the planner, and implements
+`Writer`. Nothing here makes decisions.
 """
 
 from collections.abc import Collection, Iterable
@@ -12,54 +12,79 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route: the calls that share an SLO time, an importance and the backends they may go to."""
+    """A route: calls that share an SLO time, an importance and the backends that may serve them."""
 
     importance: float
-    slo: int
-    own_zone: bool  # open only to backends in the proxy's zone
-    kinds: frozenset[int] | None  # open only to these machine kinds; None: to all
-    zones: frozenset[int] | None  # open only to backends in these zones; None: in all
+    slo: int  # microseconds
+    own_zone: bool  # only backends in the proxy's zone may serve it
+    kinds: frozenset[int] | None  # only these machine kinds may serve it; None: all
+    zones: frozenset[int] | None  # only backends in these zones may serve it; None: in all
 
-    def open_to(self, kind: int, zone: int) -> bool:
-        """Whether its requests may go to a backend of that kind in that zone."""
+    def allows(self, kind: int, zone: int) -> bool:
+        """Whether a backend of that kind in that zone may serve the route."""
         return (self.kinds is None or kind in self.kinds) and (self.zones is None or zone in self.zones)
 
 
 @dataclass(frozen=True, slots=True)
 class Bootstrap:
-    """The start-up figures that the planner reads, decoded once."""
+    """The start-up settings of the planner, decoded once. Times are microseconds."""
 
     routes: tuple[Route, ...]
-    zones: int
-    coordinators: int
-    must_watch: bool  # the backend list has to be asked for
-    watch_timeout: int  # without an answer for this long, what was listed counts as known
+    zones: int  # number of zones
+    coordinators: int  # number of coordinators
+    must_watch: bool  # whether the planner has to start the watch of the backend list
+    watch_timeout: int  # without an answer for this long, the list counts as known
     admission: str  # "fraction", "per_second" or "silent"
-    cycle: int  # reports are gathered this often
+    cycle: int  # interval at which reports are gathered
     backlog: int  # lines that may wait in the channel
-    channel_lines_per_second: float  # lines a second that the channel sends, at its usual speed
+    channel_lines_per_second: float  # lines that the channel usually sends in a second
     message_overhead: float  # lines that a message costs beside its own
-    message_limit: int  # messages to one proxy within `messages_over`; 0: no limit
+    message_limit: int  # messages to one proxy within `message_limit_window`; 0: no limit
     message_limit_window: int
-    grace: int  # drains are kept within this
-    warm_up_time: int  # a backend is warm this long after its start
-    cold_start_capacity: float  # and starts at this share of its capacity or more
-    proxies: int = 0  # of the deployment
-    report_lines_per_second: float = 0.0  # lines of reports a second that get through; 0: not stated
-    cold_overload_multiple: float = 3.0  # a cold backend that is sent this multiple of what it can do falls over
+    grace: int  # time within which proxies have to stop sending to a backend that drains
+    warm_up_time: int  # a backend is cold for this long after its start
+    cold_start_capacity: float  # least share of its capacity that a backend can serve at its start
+    proxies: int = 0  # number of proxies in the deployment
+    report_lines_per_second: float = 0.0  # lines of reports that get through in a second; 0: not stated
+    cold_overload_multiple: float = 3.0  # a cold backend that is sent this multiple of what it can serve falls over
 
 
 class Writer(Protocol):
     """Takes the planner's decisions in the order in which they are made."""
 
-    def set_weight(self, table: int, backend: int, weight: float) -> None: ...
-    def bind(self, proxy: int, table: int, routes: Iterable[int], is_subset: bool = False) -> None: ...  # of few lines
-    def withdraw(self, backend: int, out: bool) -> None: ...
-    def set_admission(self, table: int | None, routes: Iterable[int], level: float, tries: int) -> None: ...
-    def forget(self, backend: int) -> None: ...
-    def request_ack(
-        self, number: int
-    ) -> Collection[int] | None: ...  # who gets a message of this round; None: all concerned
-    def watch(self) -> None: ...
-    def set_timer(self, at: int, number: int) -> None: ...
-    def log(self, text: str) -> None: ...
+    def set_weight(self, table: int, backend: int, weight: float) -> None:
+        """Sets an entry of a table; weight 0 removes it."""
+        ...
+
+    def bind(self, proxy: int, table: int, routes: Iterable[int], is_subset: bool = False) -> None:
+        """Binds routes of a proxy to a table. `is_subset`: the table names few of the backends."""
+        ...
+
+    def withdraw(self, backend: int, withdrawn: bool) -> None:
+        """Tells proxies to send a backend nothing, or to use it again."""
+        ...
+
+    def set_admission(self, table: int | None, routes: Iterable[int], level: float, tries: int) -> None:
+        """Sets how much of the routes' calls proxies admit, and how they retry. `table` None: for all tables."""
+        ...
+
+    def forget(self, backend: int) -> None:
+        """Frees the index of a backend that has been gone for long."""
+        ...
+
+    def request_ack(self, ack_number: int) -> Collection[int] | None:
+        """Asks the proxies concerned to acknowledge this round's message with a number; the last decision of a round.
+        Returns the proxies that get a message; None: all that are concerned."""
+        ...
+
+    def watch(self) -> None:
+        """Starts the watch of the backend list."""
+        ...
+
+    def set_timer(self, at: int, number: int) -> None:
+        """Asks for a round at a time. `number` tells timers apart."""
+        ...
+
+    def log(self, text: str) -> None:
+        """Writes a line for operators."""
+        ...
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -59,7 +59,7 @@
 
 def release(fleet, homes, joining=0):
     """Cold backends come, then all old ones of some homes leave at once, while proxies of other coordinators join."""
-    going = [b for b, home in sorted(fleet.planner.homes.items()) if home in homes]
+    going = [b for b, home in sorted(fleet.planner.subset_of_backend.items()) if home in homes]
     fresh = [80 + i for i in range(len(going))]
     fleet.list_backends(dict.fromkeys(fresh, "running"), cold=fresh)
     fleet.run_for(1)
@@ -186,6 +186,6 @@
     harness.list_backends(*((b, "running", 0.5) for b in fresh), scope="changes", after=0.1)
     for _ in range(2):
         harness.play_second(range(4), calls=120, demand=(30, 30))
-    print(harness.planner.share, harness.planner.levels)
-    share = sum(harness.planner.share) / 2
+    print(harness.planner.admitted_shares, harness.planner.sent_levels)
+    share = sum(harness.planner.admitted_shares) / 2
     assert share <= let_in and (share == 1.0 or fresh)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,6 +1,6 @@
 """One scene for each failure that was met; see docs/incidents and the history."""
 
-from cranecleat.policy import REST
+from cranecleat.policy import FORGET_GRACES
 from planner_harness import SECOND, PlannerHarness, assert_matches_trace
 
 ALL = [0, 1, 2, 3]
@@ -155,7 +155,7 @@
             *(("demand_reported", p, r, 15, covers) for p in range(turn % 3, 40, 3) for r in (0, 1)),
             after=1.0,
         )
-    harness.comment(f"a spell is {harness.planner.spell:.1f} cycles")
+    harness.comment(f"a spell is {harness.planner.report_interval:.1f} cycles")
     assert_matches_trace("several_turns", harness)
 
 
@@ -212,13 +212,13 @@
     harness.join(1)
     harness.play_round(after=0.1)
     harness.list_backends((0, "running", None), (2, "running", 0), after=1.0)
-    for _ in range(REST * 2 + 2):
+    for _ in range(FORGET_GRACES * 2 + 2):
         harness.play_second([0, 2])
         harness.join(1)  # its stream breaks all the time
     harness.comment("and is a new one when it comes back")
     harness.list_backends((1, "running", 0), scope="changes")
     harness.play_round(after=1.0)
-    assert set(harness.planner.backends) == {0, 1, 2} and not harness.planner.unsaid
+    assert set(harness.planner.backends) == {0, 1, 2} and not harness.planner.pending_withdrawals
     assert_matches_trace("forgotten", harness)
 
 
--- a/tests/test_recorded_days.py
+++ b/tests/test_recorded_days.py
@@ -32,7 +32,10 @@
     assert any(float(line.split()[-2]) < 1.0 for line in levels)
 
 
-@pytest.mark.parametrize("constant, value", [("TARGET", 0.66), ("CHANGED", 0.11), ("SILENT", 9), ("THIN", 0.6)])
+@pytest.mark.parametrize(
+    "constant, value",
+    [("ASSUMED_LOAD", 0.66), ("WEIGHT_TOLERANCE", 0.11), ("EJECT_MISSING_ANSWERS", 9), ("MIN_TABLE_SHARE", 0.6)],
+)
 def test_a_changed_constant_is_caught(played, monkeypatch, constant, value):
     monkeypatch.setattr(policy, constant, value)
     assert any(list(digests(play(day()))) != list(digests(played[name])) for name, day in DAYS.items())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -132,5 +132,7 @@
     harness.join(20, after=0.1)
     harness.play_round(after=0.3)
     harness.play_round(after=0.7)
-    harness.comment(f"behind: {harness.planner.behind}, lines that wait: {harness.planner.channel.queued_lines:.0f}")
+    harness.comment(
+        f"behind: {harness.planner.withdrawals_overdue}, lines that wait: {harness.planner.channel.queued_lines:.0f}"
+    )
     assert_matches_trace("rule_3_again", harness)
