--- a/tests/test_recorded_days.py
+++ b/tests/test_recorded_days.py
@@ -1,5 +1,5 @@
-"""Recorded days: the decision module decides as it did, call for call. A change that is meant is accepted with
-ACCEPT_TRACES=1; what changed is seen by comparing `python -m cranecleat rehearse decisions NAME` of both versions."""
+"""Recorded days: the planner makes the same decisions as before, event for event. Accept an intended change with
+ACCEPT_TRACES=1; to see what changed, compare `python -m cranecleat rehearse decisions NAME` of both versions."""
 
 import pytest
 
@@ -14,20 +14,20 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_a_recorded_day_is_decided_as_before(played, name):
+def test_a_recorded_day_leads_to_the_same_decisions(played, name):
     assert_matches_trace(f"recorded_{name}", list(digests(played[name])))
 
 
-def test_the_days_hold_what_they_are_for(played):
-    """Sections in one of them alone; drains, crashes, cold starts, refusals and shut-outs in what is decided."""
+def test_the_days_contain_the_situations_that_they_are_for(played):
+    """Subsets in one of them only; running, draining and gone backends in both; refused calls in the small fleet."""
     tables = {
         name: {line.split()[4] for line in lines(rounds) if " -> set_weight " in line}
         for name, rounds in played.items()
     }
     assert len(tables["small_fleet"]) == 2 and len(tables["parted_fleet"]) > 5
     for rounds in played.values():
-        told = [call for one in rounds for call in one.calls if call.startswith("backends_listed")]
-        assert all(any(f"'{state}'" in call for call in told) for state in ("running", "draining", "gone"))
+        listed = [call for one in rounds for call in one.calls if call.startswith("backends_listed")]
+        assert all(any(f"'{state}'" in call for call in listed) for state in ("running", "draining", "gone"))
     levels = [line for line in lines(played["small_fleet"]) if " -> set_admission " in line]
     assert any(float(line.split()[-2]) < 1.0 for line in levels)
 
@@ -43,15 +43,15 @@
 
 def test_a_swapped_order_of_two_decisions_is_caught(played):
     rounds = played["small_fleet"]
-    one = next(one for one in rounds if len(set(one.decisions)) > 1)
+    changed = next(one for one in rounds if len(set(one.decisions)) > 1)
     before = list(digests(rounds))
-    one.decisions.reverse()
+    changed.decisions.reverse()
     after = list(digests(rounds))
-    one.decisions.reverse()
+    changed.decisions.reverse()
     assert before != after and list(digests(rounds)) == before
 
 
-def test_a_recorder_hands_on_what_it_writes_down():
+def test_a_recorder_passes_on_the_decisions_that_it_records():
     class Writer:
         def request_ack(self, number):
             return {number}
