--- a/cranecleat/interface.py
+++ b/cranecleat/interface.py
@@ -57,7 +57,8 @@
         ...
 
     def bind(self, proxy: int, table: int, routes: Iterable[int], is_subset: bool = False) -> None:
-        """Binds routes of a proxy to a table. `is_subset`: the table names few of the backends."""
+        """Binds routes of a proxy to a table. `is_subset`: the table names few of the backends, and only for these are
+        withdrawals lifted that the proxy may hold from elsewhere."""
         ...
 
     def withdraw(self, backend: int, withdrawn: bool) -> None:
@@ -65,7 +66,8 @@
         ...
 
     def set_admission(self, table: int | None, routes: Iterable[int], level: float, tries: int) -> None:
-        """Sets how much of the routes' calls proxies admit, and how they retry. `table` None: for all tables."""
+        """Sets how many of the routes' calls proxies admit, as a share or a rate (see `Bootstrap.admission`), and how
+        they retry. `table` None: for all tables."""
         ...
 
     def forget(self, backend: int) -> None:
--- a/cranecleat/policy.py
+++ b/cranecleat/policy.py
@@ -16,12 +16,13 @@
 
 What happens when a backend drains or goes:
     `backends_listed` notes it. `update_allocation` leaves it out of the tables. `write_changes` withdraws it, so that
-    proxies send it nothing more: at once where that is cheap, else after a short wait for other withdrawals.
+    proxies send it nothing more: at once where that is cheap, else after a short wait for other withdrawals. Where the
+    fleet is divided into subsets, `write_changes` removes its entries from their tables instead, as urgently.
     `repeat_withdrawals` covers proxies that join meanwhile. `forget_removed_backends` forgets a backend long gone.
 What happens while a backend is cold:
     `warmth` is the share of its capacity that a backend of its age can serve. `capacities` and `apply_floor` keep its
-    multiplier within that share, and `cold_share_factor` lowers it while more is asked than was ever served. Where the
-    fleet is divided into subsets, `urgent_entries` finds tables that send a cold backend too much.
+    multiplier within that share. With subsets, `cold_share_factor` lowers it while more is asked than was ever served,
+    and `urgent_entries` finds tables that send a cold backend too much.
 What happens on overload:
     `learn_capacity` lowers the fleet's capacity when answers get slow. `update_allocation` grants each route what the
     capacity allows, the most important first, and derives the admitted shares. `write_changes` writes these as levels.
@@ -421,7 +422,7 @@
                 expected[b] = expected.get(b, 0.0) + calls * w / max(total, 1e-9)
         expected_total = sum(expected[b] for b in expected if b in running) or 1.0
         bound_share = (len(self.proxies) - len(self.users.unbound)) / max(len(self.proxies), 1)
-        room = sum(backend.size * (MAX_EJECTED_SHARE - backend.ejected) for backend in running.values())
+        ejectable_size = sum(backend.size * (MAX_EJECTED_SHARE - backend.ejected) for backend in running.values())
         for b, backend in running.items():
             backend.silent_intervals += 1 / self.report_interval
             backend.missing_answers += self.attempt_totals[1] * bound_share * expected.get(b, 0.0) / expected_total
@@ -436,9 +437,9 @@
                 and missing + backend.peer_missing_answers > EJECT_MISSING_ANSWERS
             )
             backend.peer_missing_answers /= 2
-            if not backend.ejected and proved and backend.size <= room:
+            if not backend.ejected and proved and backend.size <= ejectable_size:
                 backend.ejected = True
-                room -= backend.size
+                ejectable_size -= backend.size
                 self.writer.log(f"backend {b} shut out: it never answers")
 
     def unexplained_missing(self, backend):
@@ -505,8 +506,8 @@
             self.fleet_capacity = served / ASSUMED_LOAD
         else:
             # Half of the way back to what was served before the overload; then a tenth a cycle, more if far from slow.
-            clean = min(max(slow_time / max(answer_time, 1.0) - 1.0, 0.5), 3.0)
-            growth = CAPACITY_GROWTH**clean if self.fill_level > GROWTH_MIN_LEVEL else 1.0
+            growth_cycles = min(max(slow_time / max(answer_time, 1.0) - 1.0, 0.5), 3.0)
+            growth = CAPACITY_GROWTH**growth_cycles if self.fill_level > GROWTH_MIN_LEVEL else 1.0
             self.overloaded = False
             self.fleet_capacity = max(
                 self.fleet_capacity * growth, (self.fleet_capacity + self.capacity_before_overload) / 2
@@ -774,6 +775,8 @@
         written at once, as every message has an overhead; while no more than half of the backlog waits, as many as fit
         are written. Returns the backends that remain."""
         changed = [b for b in backends if self.backends[b].withdrawn != withdrawn]  # the others are only repeated
+        # All proxies may hold a backend that a table names; with subsets, only after a withdrawal in an earlier round.
+        # Otherwise only proxies that wait may hold it.
         named = any(b in weights for b in changed for weights in self.tables.values())
         named = named and (
             not self.subset_count or any(0 < self.backends[b].withdrawal_sent_at < self.now for b in backends)
@@ -856,8 +859,9 @@
             elif self.bindings_delayed and priority:
                 skewed = priority == SKEWED_TABLE and periodic
                 backlog_share = min(backlog_share, BACKLOG_SKEWED_TABLES if skewed else BACKLOG_IMMEDIATE)
+            # Entries of an empty table do not wait; in a subset's table, only the first one does not. A table without
+            # proxies takes no lines in the channel.
             can_wait = priority or table in filled
-            # A table without proxies takes no lines in the channel.
             if can_wait and users and not self.has_room(users, backlog_share, 1, table):
                 removals_wait = removals_wait or priority == LEAVING_BACKEND
                 unplaced.add(b)  # it is not let back in either
@@ -888,8 +892,13 @@
         if self.subset_count:
             # Proxies that are bound lose the entry instead; a binding withdraws all that is withdrawn, for fewer lines.
             held = set().union(*self.tables.values())
-            first = next(iter(self.users.waiting.values()), None)
-            stuck = first and not self.bindings_delayed and self.now - first.joined_at > self.bootstrap.cycle
+            # Proxies are stuck that have waited for a cycle although the channel has room, as no table exists for them.
+            first_waiting = next(iter(self.users.waiting.values()), None)
+            stuck = (
+                first_waiting
+                and not self.bindings_delayed
+                and self.now - first_waiting.joined_at > self.bootstrap.cycle
+            )
             stopped = [b for b in stopped if b not in held and (stuck or not has_waiting)]
         backlog_share = BACKLOG_WITHDRAWALS if withdrawals_due else BACKLOG_IMMEDIATE
         repeated = [b for b in stopped if self.backends[b].withdrawn]
