--- a/cranecleat/gossip/__init__.py
+++ b/cranecleat/gossip/__init__.py
@@ -1,5 +1,6 @@
-"""Gossip between coordinators: who takes part, what they miss from backends, and how little that may do.
+"""Gossip between coordinators: membership, and what the members report about backends that leave calls unanswered.
 
-`Agent` (agent.py) is the whole of it without I/O: it is handed datagrams and the time and hands back datagrams.
-`Courier` (shell.py) carries them over UDP. docs/design/gossip.md has the format and why peers cannot do harm.
+`Agent` (agent.py) holds the whole protocol without I/O: it takes datagrams and the time and returns datagrams.
+`GossipTransport` (shell.py) carries them over UDP. docs/design/gossip.md has the format and explains why a faulty peer
+cannot do harm.
 """
--- a/cranecleat/gossip/bridge.py
+++ b/cranecleat/gossip/bridge.py
@@ -1,7 +1,7 @@
-"""Between the planner's small indices and the keys that mean the same backend, in the same life, to every member.
+"""Maps the planner's backend indices to keys that mean the same backend in the same life to every member. No I/O.
 
-No I/O. A suspicion of a backend that is unknown here, was forgotten, or has started anew since has a key that nothing
-here has, and so no effect: nothing else has to check for it.
+A claim about a backend that is unknown here, was forgotten, or has started again since has a key that no backend here
+has. Such a claim has no effect, so nothing else needs to check for it.
 """
 
 import hashlib
@@ -10,19 +10,24 @@
 
 
 def backend_key(name, started):
-    """A backend in one life: its id and when it started (Unix time in microseconds; 0: long ago)."""
+    """The key of a backend in one life: of its id and its start (Unix time in microseconds; 0: unknown, long ago)."""
     return hashlib.blake2b(f"{name} {started}".encode(), digest_size=KEY_BYTES, person=b"backend").digest()
 
 
 class Bridge:
-    """What the planner misses, for peers; what peers miss, for the planner. `planner` and `names` are the service's."""
+    """Turns the planner's unanswered calls into claims for peers, and peers' claims into events for the planner.
+
+    `planner` and `names` are those of the coordinator.
+    """
 
     def __init__(self, planner, names):
-        self.planner, self.names = planner, names
-        self.keys = {}  # index -> (name, start, key)
-        self.reported = set()  # indices that peers' claims stand for
+        self.planner = planner
+        self.names = names
+        self.keys = {}  # backend index -> (name, start, key)
+        self.reported = set()  # indices that the planner was last told of with claims of peers
 
     def key(self, b):
+        """The key of a backend by its index. It is computed again after the backend has started anew."""
         name, started = self.names.ids[b], self.planner.backends[b].started
         known = self.keys.get(b)
         if known is None or known[:2] != (name, started):
@@ -30,17 +35,19 @@
         return known[2]
 
     def missing_answers(self):
+        """Unanswered calls by backend key, for the agent."""
         return {self.key(b): missing for b, missing in self.planner.missing_answers().items()}
 
     def events(self, pooled):
-        """Calls of the planner for what the others miss: also once for each that they miss no more."""
+        """Events for the planner with what the other members miss. A backend that they no longer miss answers from gets
+        one last event with 0."""
         backends = self.planner.backends
         for b in [b for b in self.keys if b not in backends]:
             del self.keys[b]
         self.reported &= backends.keys()
-        doubts = {}
+        missing_by_backend = {}
         if pooled:
-            doubts = {b: pooled[key] for b in backends if (key := self.key(b)) in pooled}
-        calls = [("peers_reported_missing", b, 0.0) for b in sorted(self.reported - doubts.keys())]
-        self.reported = set(doubts)
-        return calls + [("peers_reported_missing", b, missing) for b, missing in sorted(doubts.items())]
+            missing_by_backend = {b: pooled[key] for b in backends if (key := self.key(b)) in pooled}
+        events = [("peers_reported_missing", b, 0.0) for b in sorted(self.reported - missing_by_backend.keys())]
+        self.reported = set(missing_by_backend)
+        return events + [("peers_reported_missing", b, missing) for b, missing in sorted(missing_by_backend.items())]
--- a/cranecleat/gossip/keys.py
+++ b/cranecleat/gossip/keys.py
@@ -1,66 +1,69 @@
-"""Key files: a member's secret key, one line, readable by its owner alone. The only file work of gossip's keys."""
+"""Key files: a member's secret key on one line, readable by its owner only. No other module of gossip reads keys."""
 
 import base64
 import binascii
 import os
 import stat
 
-WORD = "cranecleat-key-1"  # what a key file begins with; the number is the format's
+FORMAT_NAME = "cranecleat-key-1"  # a key file begins with it; the number is the version of the format
 
 
 class KeyFileError(ValueError):
-    """A key or a key file that cannot be used; the text says what and what instead."""
+    """A key or a key file that cannot be used; the text says what is wrong and what to do."""
 
 
 def encode(key):
+    """A key as base64 text."""
     return base64.b64encode(key).decode("ascii")
 
 
 def decode(text, size=32):
+    """The key of a base64 text; raises `KeyFileError` if it is not base64 or not `size` bytes long."""
     try:
         key = base64.b64decode(text, validate=True)
     except (binascii.Error, ValueError, TypeError):
-        raise KeyFileError(f"{text!r} is no base64: copy the line that `cranecleat keys show` prints") from None
+        raise KeyFileError(f"{text!r} is not base64: copy the line that `cranecleat keys show` prints") from None
     if len(key) != size:
-        raise KeyFileError(f"a key of {len(key)} bytes where {size} are needed")
+        raise KeyFileError(f"the key has {len(key)} bytes, but {size} are needed")
     return key
 
 
 def create_key_file(path):
-    """Writes a new secret key to a file that must not exist yet, and returns it."""
+    """Writes a new secret key to a file that must not exist yet, and returns the key."""
     secret = os.urandom(32)
     try:
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     except FileExistsError:
         raise KeyFileError(f"{path} exists: a key is never overwritten; choose another name") from None
-    except OSError as failure:
-        raise KeyFileError(f"{path}: {failure.strerror}") from None
+    except OSError as error:
+        raise KeyFileError(f"{path}: {error.strerror}") from None
     with os.fdopen(descriptor, "w") as file:
-        file.write(f"{WORD} {encode(secret)}\n")
+        file.write(f"{FORMAT_NAME} {encode(secret)}\n")
         file.flush()
         os.fsync(file.fileno())
     return secret
 
 
 def read_key_file(path):
-    """The secret key of a file, 32 bytes."""
+    """The secret key in a file, 32 bytes. Refuses a file that other users of the machine can read."""
     try:
         with open(path, encoding="ascii") as file:
             mode = stat.S_IMODE(os.fstat(file.fileno()).st_mode)
-            word, _, text = file.read(256).strip().partition(" ")
-    except OSError as failure:
-        raise KeyFileError(f"{path}: {failure.strerror}; make one with `cranecleat keys new {path}`") from None
+            format_name, _, text = file.read(256).strip().partition(" ")
+    except OSError as error:
+        raise KeyFileError(f"{path}: {error.strerror}; make one with `cranecleat keys new {path}`") from None
     except UnicodeDecodeError:
-        raise KeyFileError(f"{path} is no key file") from None
-    if word != WORD:
-        raise KeyFileError(f"{path} is no key file: it does not begin with {WORD!r}")
+        raise KeyFileError(f"{path} is not a key file") from None
+    if format_name != FORMAT_NAME:
+        raise KeyFileError(f"{path} is not a key file: it does not begin with {FORMAT_NAME!r}")
     if mode & 0o077:
         raise KeyFileError(
-            f"{path} can be read by others (mode {mode:o}): chmod 600 it, and change the key if they may have"
+            f"{path} can be read by others (mode {mode:o}): run chmod 600 on it, and replace the key if others may"
+            " have read it"
         )
     return decode(text)
 
 
 def fingerprint(public):
-    """The first bytes of a public key, to be read out over a telephone."""
+    """The first bytes of a public key in groups of four digits, short enough to compare by telephone."""
     return "-".join(public[:8].hex()[i : i + 4] for i in range(0, 16, 4))
--- a/cranecleat/gossip/members.py
+++ b/cranecleat/gossip/members.py
@@ -1,221 +1,260 @@
 """Membership after SWIM (Das, Gupta and Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips and Currey, 2017).
 
-One small state machine a member. No I/O; the time and chance are handed in. A member is believed dead only on what was
-seen here: a probe of our own that nobody could get answered, and a time to refute. What others say starts or shortens
-that time and never replaces the probe. Incarnations are raised by their owner alone, in a signed statement.
+Each member is a small state machine. No I/O; the time and the random numbers are passed in. A member is declared dead
+only after a failure that was observed here: a probe of this member that neither the target nor any helper answered, and
+then a time in which the target could refute. Suspicions from others start or shorten that time and never replace the
+probe. Only the owner of an incarnation raises it, in a signed statement.
 """
 
 from dataclasses import dataclass, field
 from math import log, log2, log10
 
-SECOND = 1_000_000
-PERIOD = SECOND  # from one probe to the next
-ANSWER = 3 * PERIOD // 10  # for a direct answer, before others are asked
-HELPERS = 3  # others that are asked
-UNHEALTHY = 8  # the most that one's own time-outs are stretched by
-SUSPECTED, STRETCH = 4, 3  # periods by log10 of the roster: the least time to refute; how much longer it is at the most
-CONFIRMED = 3  # others that suspect it too, after which the least time holds
-SELDOM = 3  # every third probe goes to one that is dead or was never heard
-LATE = PERIOD // 2  # a probe step that comes this late shows that we stood still ourselves
+SECOND = 1_000_000  # microseconds
+PROBE_PERIOD_US = SECOND  # from one probe to the next
+DIRECT_ANSWER_US = 3 * PROBE_PERIOD_US // 10  # time for a direct answer, before helpers are asked
+HELPER_COUNT = 3
+MAX_HEALTH_SCORE = 8  # the most that this member adds to the factor of its own timeouts
+# The least time to refute, in probe periods for each power of ten of the roster's size; the most that it is stretched.
+MIN_SUSPICION_PERIODS = 4
+MAX_SUSPICION_FACTOR = 3
+CONFIRMATIONS = 3  # other members that also suspect the target, from which on the least time to refute holds
+UNREACHABLE_PROBE_EVERY = 3  # every third probe goes to a member that is dead or was never heard
+MAX_STEP_DELAY_US = PROBE_PERIOD_US // 2  # a step that is later than this shows that this process was stalled
 
 
 @dataclass(slots=True)
-class Standing:
+class MemberRecord:
     """What is believed of one member. `state`: unheard, alive, suspect, dead or left."""
 
     state: str = "unheard"
     life: int = 0
     incarnation: int = 0
-    since: int = 0  # of the state
-    by: set = field(default_factory=set)  # who suspects it beside us
-    tested: bool = False  # a probe of our own has failed since it was suspected
+    since: int = 0  # when the state began
+    suspected_by: set = field(default_factory=set)  # other members that suspect it
+    probe_failed: bool = False  # a probe from here has failed since the suspicion began
 
 
 @dataclass(slots=True)
 class Probe:
+    """The probe in progress."""
+
     target: int
     nonce: int
-    at: int
+    sent_at: int
     helpers: tuple = ()
-    heard: bool = False  # of any helper
+    any_answer: bool = False  # from the target or a helper
 
 
 class Members:
-    """Calls return what to do as tuples: ("ping", member, nonce), ("ask", helper, target, nonce)."""
-
-    def __init__(self, me, others, draw, now):
-        self.me, self.draw = me, draw  # draw(n): a whole number under n
-        self.standing = {one: Standing(since=now) for one in others}
-        self.health, self.probe, self.nonce, self.turns = 0, None, 0, 0
-        self.order, self.next_at, self.last = [], now + draw(PERIOD), now
-        self.events = []  # (member, from, to), for the log
+    """The states of all other members, and the probes that check them.
+
+    `step` returns what to send as tuples: ("ping", member, nonce), ("ask", helper, target, nonce).
+    """
+
+    def __init__(self, me, others, random_below, now):
+        self.me = me
+        self.random_below = random_below  # random_below(n): a whole number below n
+        self.records = {number: MemberRecord(since=now) for number in others}
+        self.health = 0  # Lifeguard's local health score: 0 is healthy
+        self.probe = None
+        self.nonce = 0
+        self.probe_count = 0
+        self.probe_order = []
+        self.next_probe_at = now + random_below(PROBE_PERIOD_US)
+        self.last_step_at = now
+        self.events = []  # (member, old state, new state), for the log
 
     def update_roster(self, others, now):
-        """Another roster: who is no longer in it is forgotten, who is new is unheard."""
-        self.standing = {one: self.standing.get(one) or Standing(since=now) for one in others}
-        if self.probe and self.probe.target not in self.standing:
+        """Forgets members that are no longer in the roster; new ones begin as unheard."""
+        self.records = {number: self.records.get(number) or MemberRecord(since=now) for number in others}
+        if self.probe and self.probe.target not in self.records:
             self.probe = None
 
-    def of(self, *states):
-        return [one for one, s in self.standing.items() if s.state in states]
+    def in_state(self, *states):
+        return [number for number, record in self.records.items() if record.state in states]
 
     def live(self):
-        return self.of("alive", "suspect")
+        return self.in_state("alive", "suspect")
 
-    def stretch(self):
-        """Lifeguard: one that is slow itself gives others more time before it accuses them."""
+    def timeout_factor(self):
+        """Lifeguard: a member that is slow itself gives others more time before it suspects them."""
         return 1 + self.health
 
-    def unwell(self, change):
-        self.health = min(max(self.health + change, 0), UNHEALTHY)
-
-    def move(self, one, state, now):
-        s = self.standing[one]
-        if s.state != state:
-            self.events.append((one, s.state, state))
-            s.state, s.since = state, now
-        s.by, s.tested = set(), False
-
-    # What is heard
-
-    def heard(self, one, life, incarnation, now, left=False):
-        """One has said this of itself, in a datagram or a statement with its signature. Returns whether it has come
-        back, and so may have missed what is known."""
-        s = self.standing.get(one)
-        if s is None or (life, incarnation) < (s.life, s.incarnation):
+    def adjust_health(self, change):
+        self.health = min(max(self.health + change, 0), MAX_HEALTH_SCORE)
+
+    def set_state(self, number, state, now):
+        """Sets the state of a member and ends what was known of a suspicion."""
+        record = self.records[number]
+        if record.state != state:
+            self.events.append((number, record.state, state))
+            record.state = state
+            record.since = now
+        record.suspected_by = set()
+        record.probe_failed = False
+
+    # What is received
+
+    def statement_received(self, number, life, incarnation, now, has_left=False):
+        """A member has told this of itself with its signature. Returns whether it has come back, and so may have missed
+        statements of others."""
+        record = self.records.get(number)
+        if record is None or (life, incarnation) < (record.life, record.incarnation):
             return False
-        newer = (life, incarnation) > (s.life, s.incarnation)
-        s.life, s.incarnation = life, incarnation
-        if left:
-            self.move(one, "left", now)
+        is_newer = (life, incarnation) > (record.life, record.incarnation)
+        record.life = life
+        record.incarnation = incarnation
+        if has_left:
+            self.set_state(number, "left", now)
             return False
-        if not newer:
-            return False  # what others still pass on of one that has died since
-        back = s.state in ("dead", "unheard", "left")
-        self.move(one, "alive", now)
-        return back
-
-    def spoke(self, one, life, now):
-        """A datagram of its own has just come and was verified: whatever is said of it, it lives."""
-        s = self.standing.get(one)
-        if s is None or life < s.life or s.state == "left" and life == s.life:
+        if not is_newer:
+            return False  # others may still pass on a statement of a member that has died since
+        has_come_back = record.state in ("dead", "unheard", "left")
+        self.set_state(number, "alive", now)
+        return has_come_back
+
+    def datagram_received(self, number, life, now):
+        """A verified datagram of a member itself has just come: the member is alive, whatever others say of it. Returns
+        whether it has come back."""
+        record = self.records.get(number)
+        if record is None or life < record.life or record.state == "left" and life == record.life:
             return False
-        if life > s.life:
-            s.life, s.incarnation = life, 0
-        back = s.state in ("dead", "unheard", "left")
-        self.move(one, "alive", now)
-        return back
-
-    def accused(self, one, life, incarnation, by, now):
-        """A member says that it suspects another: true only of the incarnation that the other has signed."""
-        s = self.standing.get(one)
-        if s is None or (life, incarnation) != (s.life, s.incarnation) or s.state not in ("alive", "suspect"):
+        if life > record.life:
+            record.life = life
+            record.incarnation = 0
+        has_come_back = record.state in ("dead", "unheard", "left")
+        self.set_state(number, "alive", now)
+        return has_come_back
+
+    def suspicion_received(self, number, life, incarnation, accuser, now):
+        """A member says that it suspects another one. This counts only for the incarnation that the suspect has signed
+        last."""
+        record = self.records.get(number)
+        if (
+            record is None
+            or (life, incarnation) != (record.life, record.incarnation)
+            or record.state not in ("alive", "suspect")
+        ):
             return
-        if s.state == "alive":
-            self.move(one, "suspect", now)
-        s.by.add(by)
+        if record.state == "alive":
+            self.set_state(number, "suspect", now)
+        record.suspected_by.add(accuser)
 
-    def answered(self, nonce, now, helper=None, lives=True):
-        """An answer to our probe: from its target, through a helper, or a helper's word that it has none yet."""
+    def answer_received(self, nonce, now, helper=None, is_alive=True):
+        """An answer to the probe in progress: from its target, from the target through a helper, or from a helper that
+        has no answer of the target yet (`is_alive` false)."""
         probe = self.probe
         if probe is None or probe.nonce != nonce or helper is not None and helper not in probe.helpers:
             return
-        probe.heard = True
-        if lives and helper is None:
-            self.unwell(-1)
+        probe.any_answer = True
+        if is_alive and helper is None:
+            self.adjust_health(-1)
             self.probe = None
-        elif lives:
-            s = self.standing[probe.target]
-            if s.state == "suspect":
-                self.move(probe.target, "alive", now)
+        elif is_alive:
+            record = self.records[probe.target]
+            if record.state == "suspect":
+                self.set_state(probe.target, "alive", now)
             self.probe = None
 
     def suspects(self):
-        return [(one, s.life, s.incarnation) for one, s in self.standing.items() if s.state == "suspect"]
-
-    # What time brings
-
-    def patience(self, s):
-        """How long a suspect has to refute: shorter the more others suspect it as well, longer while we are unwell."""
-        least = SUSPECTED * max(log10(max(len(self.standing) + 1, 2)), 1.0) * PERIOD
-        part = min(log(len(s.by) + 1) / log(CONFIRMED + 1), 1.0)
-        return int(least * (STRETCH - (STRETCH - 1) * part) * self.stretch())
+        """All suspects as (member, life, incarnation), to be told to others."""
+        return [
+            (number, record.life, record.incarnation)
+            for number, record in self.records.items()
+            if record.state == "suspect"
+        ]
+
+    # What is due
+
+    def suspicion_timeout(self, record):
+        """How long a suspect has to refute: shorter the more members suspect it as well, longer while this member is
+        not healthy."""
+        least = MIN_SUSPICION_PERIODS * max(log10(max(len(self.records) + 1, 2)), 1.0) * PROBE_PERIOD_US
+        confirmed = min(log(len(record.suspected_by) + 1) / log(CONFIRMATIONS + 1), 1.0)
+        return int(least * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1) * confirmed) * self.timeout_factor())
 
     def due(self):
+        """When `step` has something to do next."""
         if self.probe and not self.probe.helpers:
-            return min(self.next_at, self.probe.at + ANSWER * self.stretch())
-        return self.next_at
+            return min(self.next_probe_at, self.probe.sent_at + DIRECT_ANSWER_US * self.timeout_factor())
+        return self.next_probe_at
 
     def step(self, now):
-        """All that is due. One that stood still for a while accuses nobody for what it missed."""
-        orders, stood = [], now - self.last > PERIOD * self.stretch() + LATE
-        if stood:
-            self.unwell(+1)
+        """Does all that is due and returns what to send. A process that was stalled does not suspect others for the
+        answers that it missed meanwhile."""
+        actions = []
+        was_stalled = now - self.last_step_at > PROBE_PERIOD_US * self.timeout_factor() + MAX_STEP_DELAY_US
+        if was_stalled:
+            self.adjust_health(+1)
             self.probe = None
-            for s in self.standing.values():
-                s.since += now - self.last
-        self.last = now
+            for record in self.records.values():
+                record.since += now - self.last_step_at
+        self.last_step_at = now
         probe = self.probe
-        if probe and not probe.helpers and now >= probe.at + ANSWER * self.stretch():
-            able = [one for one in self.live() if one != probe.target]
-            probe.helpers = tuple(self.pick(able, HELPERS)) or (self.me,)
-            orders += [("ask", one, probe.target, probe.nonce) for one in probe.helpers if one != self.me]
-        if now >= self.next_at:
-            self.failed(now)
-            self.bury(now)
-            target = self.target()
+        if probe and not probe.helpers and now >= probe.sent_at + DIRECT_ANSWER_US * self.timeout_factor():
+            candidates = [number for number in self.live() if number != probe.target]
+            probe.helpers = tuple(self.sample(candidates, HELPER_COUNT)) or (self.me,)
+            actions += [("ask", helper, probe.target, probe.nonce) for helper in probe.helpers if helper != self.me]
+        if now >= self.next_probe_at:
+            self.end_probe(now)
+            self.declare_dead(now)
+            target = self.next_target()
             if target is not None:
                 self.nonce = (self.nonce + 1) % 65536
                 self.probe = Probe(target, self.nonce, now)
-                orders.append(("ping", target, self.nonce))
-            self.next_at = now + PERIOD * self.stretch()
-        return orders
+                actions.append(("ping", target, self.nonce))
+            self.next_probe_at = now + PROBE_PERIOD_US * self.timeout_factor()
+        return actions
 
-    def failed(self, now):
+    def end_probe(self, now):
+        """Ends the probe in progress, if it has no answer yet, as failed."""
         probe, self.probe = self.probe, None
         if probe is None:
             return
-        s = self.standing[probe.target]
-        if s.state not in ("alive", "suspect"):
+        record = self.records[probe.target]
+        if record.state not in ("alive", "suspect"):
             return
-        if probe.helpers != (self.me,) and not probe.heard and len(probe.helpers) > 1:
-            self.unwell(+1)  # nobody of them said anything: more likely it is us
-        if s.state == "alive":
-            self.move(probe.target, "suspect", now)
-        s.tested = True
-
-    def bury(self, now):
-        for one in self.of("suspect"):
-            s = self.standing[one]
-            if s.tested and now - s.since >= self.patience(s):
-                self.move(one, "dead", now)
-
-    def target(self):
-        """Suspects that were not probed from here first, then all in an order drawn anew each time round; now and
-        then one that is dead, as a cut-off part would never be found again."""
-        self.turns += 1
-        untested = [one for one in self.of("suspect") if not self.standing[one].tested]
+        if probe.helpers != (self.me,) and not probe.any_answer and len(probe.helpers) > 1:
+            self.adjust_health(+1)  # no helper has answered either, so the fault is more likely here
+        if record.state == "alive":
+            self.set_state(probe.target, "suspect", now)
+        record.probe_failed = True
+
+    def declare_dead(self, now):
+        """Declares suspects dead whose time to refute is over and that a probe from here has not reached."""
+        for number in self.in_state("suspect"):
+            record = self.records[number]
+            if record.probe_failed and now - record.since >= self.suspicion_timeout(record):
+                self.set_state(number, "dead", now)
+
+    def next_target(self):
+        """The member to probe next: first a suspect that was not probed from here, then all live members in a random
+        order, which is drawn again for each pass. Every few probes one that is dead or unheard is tried, as otherwise a
+        part of the group that was cut off would never be found again."""
+        self.probe_count += 1
+        untested = [number for number in self.in_state("suspect") if not self.records[number].probe_failed]
         if untested:
-            return untested[self.draw(len(untested))]
-        missing = self.of("dead", "unheard")
-        if missing and (self.turns % SELDOM == 0 or not self.live()):
-            return missing[self.draw(len(missing))]
+            return untested[self.random_below(len(untested))]
+        unreachable = self.in_state("dead", "unheard")
+        if unreachable and (self.probe_count % UNREACHABLE_PROBE_EVERY == 0 or not self.live()):
+            return unreachable[self.random_below(len(unreachable))]
         while True:
-            self.order = [one for one in self.order if one in self.standing]
-            if not self.order:
-                self.order = self.pick(self.live(), len(self.standing))
-                if not self.order:
+            self.probe_order = [number for number in self.probe_order if number in self.records]
+            if not self.probe_order:
+                self.probe_order = self.sample(self.live(), len(self.records))
+                if not self.probe_order:
                     return None
-            one = self.order.pop()
-            if self.standing[one].state in ("alive", "suspect"):
-                return one
+            number = self.probe_order.pop()
+            if self.records[number].state in ("alive", "suspect"):
+                return number
 
-    def pick(self, some, count):
-        """`count` of them by chance, each once."""
-        some = sorted(some)
-        return [some.pop(self.draw(len(some))) for _ in range(min(count, len(some)))]
+    def sample(self, candidates, count):
+        """Up to `count` of the candidates at random, each at most once."""
+        candidates = sorted(candidates)
+        return [candidates.pop(self.random_below(len(candidates))) for _ in range(min(count, len(candidates)))]
 
 
-def rounds(members):
-    """How often a statement is told until nearly all have heard it: some times the logarithm of their number."""
+def retransmission_limit(members):
+    """How often a statement is sent until nearly all members have received it: in proportion to the logarithm of their
+    number."""
     return 3 * max(round(log2(members + 1)), 1)
--- a/cranecleat/gossip/pace.py
+++ b/cranecleat/gossip/pace.py
@@ -1,23 +1,26 @@
-"""Token buckets: a fixed pace whatever there is to say, and a budget for what is costly to check."""
+"""Token buckets: they limit the send rate, and how many signatures are checked."""
 
 
-class Bucket:
-    """Up to `burst` units at once, refilled at `rate` units a second. Times are whole microseconds."""
+class TokenBucket:
+    """Up to `burst` tokens at once, refilled at `rate` tokens a second. Times are whole microseconds."""
 
     def __init__(self, rate, burst, now):
-        self.rate, self.burst = rate, burst
-        self.held, self.at = float(burst), now
+        self.rate = rate
+        self.burst = burst
+        self.tokens = float(burst)
+        self.updated_at = now
 
-    def level(self, now):
-        """What is held at `now`; a clock that steps back neither adds nor takes."""
-        if now > self.at:
-            self.held = min(self.burst, self.held + (now - self.at) * self.rate / 1e6)
-        self.at = now
-        return self.held
+    def refill(self, now):
+        """Adds the tokens earned until `now` and returns their number. A clock that steps back neither adds nor
+        takes."""
+        if now > self.updated_at:
+            self.tokens = min(self.burst, self.tokens + (now - self.updated_at) * self.rate / 1e6)
+        self.updated_at = now
+        return self.tokens
 
     def take(self, amount, now):
-        """Whether `amount` was there; it is gone then."""
-        if self.level(now) < amount:
+        """Takes `amount` tokens if there are as many. Returns whether it did."""
+        if self.refill(now) < amount:
             return False
-        self.held -= amount
+        self.tokens -= amount
         return True
--- a/cranecleat/gossip/seal.py
+++ b/cranecleat/gossip/seal.py
@@ -1,22 +1,29 @@
-"""Signing, and what has to hold before a datagram is believed to be its sender's: cheap checks before dear ones.
+"""Signatures, and the checks that a datagram has to pass before it counts as its sender's, the cheapest first.
 
-Ed25519 (RFC 8032) through `cryptography`, imported only where gossip is switched on. What is signed begins with the
-group's digest and a word for its use, so that nothing signed for one use or group holds for another.
+The signatures are Ed25519 (RFC 8032) from `cryptography`, which is imported only where gossip is switched on. The
+signed bytes begin with a word for their use and the digest of the group, so that a signature for one use or group is
+not valid for another.
 """
 
-from cranecleat.gossip.pace import Bucket
-from cranecleat.gossip.roster import EVERYBODY
-from cranecleat.gossip.wire import SIGNATURE, DatagramError, Refused
+from cranecleat.gossip.pace import TokenBucket
+from cranecleat.gossip.roster import BROADCAST
+from cranecleat.gossip.wire import SIGNATURE_BYTES, DatagramError, Refused
 
-DATAGRAM, STATEMENT = b"datagram", b"statement"
-WINDOW = 256  # counters of a sender that may come out of order
-AHEAD = 86_400  # seconds: a life that begins further ahead is not believed, or one bad clock would end a name for good
-VERIFIED, VERIFIED_BURST = 40, 80  # signatures a second checked for one sender: eight times what an honest one sends
-WHOLE = 600  # and for all senders together: under a tenth of a core at 0.15 ms each
+# What a signature is for.
+DATAGRAM = b"datagram"
+STATEMENT = b"statement"
+REPLAY_WINDOW_COUNTERS = 256  # how far the counters of a sender may come out of order
+# A life that begins further ahead is not accepted; otherwise one wrong clock would make a name unusable for good.
+MAX_LIFE_AHEAD_SECONDS = 86_400
+# Signatures checked for one sender: the rate is eight times what a correct member sends.
+VERIFICATIONS_PER_SECOND = 40
+VERIFICATION_BURST = 80
+# For all senders together, also as a burst: under a tenth of a core at 0.15 ms each.
+TOTAL_VERIFICATIONS_PER_SECOND = 600
 
 
 class Signer:
-    """A member's own key; its 32 secret bytes never leave it."""
+    """Signs with this member's own key. The 32 secret bytes never leave it."""
 
     def __init__(self, secret):
         from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
@@ -28,114 +35,134 @@
         return self.key.sign(use + digest + data)
 
 
-class Checker:
-    """Tells whether a signature is a member's. The key that held last is tried first."""
+class SignatureChecker:
+    """Checks signatures against the keys of the members. The key that was valid last is tried first."""
 
     def __init__(self, roster):
         self.loaded = {}
         self.update_roster(roster)
 
     def update_roster(self, roster):
-        """Another roster: keys that are no longer in it hold nothing from now on."""
+        """Replaces the keys: those that are no longer in the roster are not valid from now on."""
         from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PublicKey
 
         self.keys = {}
-        for one, member in roster.members.items():
-            self.keys[one] = [self.loaded.get(key) or Ed25519PublicKey.from_public_bytes(key) for key in member.keys]
+        for number, member in roster.members.items():
+            self.keys[number] = [self.loaded.get(key) or Ed25519PublicKey.from_public_bytes(key) for key in member.keys]
         self.loaded = {
             key: loaded
-            for one, member in roster.members.items()
-            for key, loaded in zip(member.keys, self.keys[one], strict=True)
+            for number, member in roster.members.items()
+            for key, loaded in zip(member.keys, self.keys[number], strict=True)
         }
 
-    def is_valid(self, one, use, digest, data, signature):
+    def is_valid(self, number, use, digest, data, signature):
+        """Whether the signature is that of the member with this number."""
         from cryptography.exceptions import InvalidSignature
 
-        keys = self.keys.get(one, [])
-        for place, key in enumerate(keys):
+        keys = self.keys.get(number, [])
+        for position, key in enumerate(keys):
             try:
                 key.verify(signature, use + digest + data)
             except InvalidSignature:
                 continue
-            if place:
-                keys.insert(0, keys.pop(place))
+            if position:
+                keys.insert(0, keys.pop(position))
             return True
         return False
 
 
-class Window:
-    """Counters of one life of one sender: each holds once (as in RFC 4303, 3.4.3)."""
+class ReplayWindow:
+    """The counters of one life of one sender that were already used; each is accepted once (as in RFC 4303, 3.4.3)."""
 
     def __init__(self):
-        self.life, self.top, self.seen = -1, -1, 0
+        self.life = -1
+        self.highest = -1
+        self.used = 0  # bitmap: bit n stands for the counter `highest - n`
 
-    def fresh(self, life, counter):
+    def is_fresh(self, life, counter):
+        """Whether the counter has not been used and is not too old to tell."""
         if life != self.life:
             return life > self.life
-        behind = self.top - counter
-        return behind < 0 or behind < WINDOW and not self.seen >> behind & 1
+        behind = self.highest - counter
+        return behind < 0 or behind < REPLAY_WINDOW_COUNTERS and not self.used >> behind & 1
 
-    def use(self, life, counter):
+    def mark_used(self, life, counter):
+        """Records a counter; a later life begins an empty window."""
         if life > self.life:
-            self.life, self.top, self.seen = life, -1, 0
-        if counter > self.top:
-            self.seen = (self.seen << (counter - self.top)) & ((1 << WINDOW) - 1) if counter - self.top < WINDOW else 0
-            self.top = counter
-        self.seen |= 1 << (self.top - counter)
-
-
-class Door:
-    """What each datagram has to pass, the cheapest check first. It costs a stranger nothing to send and us little to
-    refuse: nothing is kept of it, and only what claims a member's name and comes from its address is verified at all,
-    up to a budget a sender. Could do harm where an attacker can send from a member's address: that member's budget is
-    used up, it counts as silent, and its claims with it; nobody else's."""
+            self.life = life
+            self.highest = -1
+            self.used = 0
+        if counter > self.highest:
+            advance = counter - self.highest
+            self.used = (
+                (self.used << advance) & ((1 << REPLAY_WINDOW_COUNTERS) - 1) if advance < REPLAY_WINDOW_COUNTERS else 0
+            )
+            self.highest = counter
+        self.used |= 1 << (self.highest - counter)
+
+
+class DatagramVerifier:
+    """Decides which datagrams are accepted, with the cheapest check first.
+
+    Anybody can send datagrams for free, so refusing them is cheap as well: nothing is kept of a refused datagram.
+    Signatures are only checked where the datagram names a member and comes from its address, within a budget for each
+    sender. An attacker who can send from a member's address can use up the budget of that member alone: it then counts
+    as silent, and its claims with it, and no other member is affected.
+    """
 
     def __init__(self, roster, checker, now):
-        self.roster, self.checker = roster, checker
-        self.windows, self.budgets = {}, {}
-        self.whole = Bucket(WHOLE, WHOLE, now)
+        self.roster = roster
+        self.checker = checker
+        self.windows = {}  # sender -> ReplayWindow
+        self.budgets = {}  # sender -> TokenBucket
+        self.total_budget = TokenBucket(TOTAL_VERIFICATIONS_PER_SECOND, TOTAL_VERIFICATIONS_PER_SECOND, now)
 
     def update_roster(self, roster):
         self.roster = roster
         self.checker.update_roster(roster)
-        for kept in (self.windows, self.budgets):
-            for one in [one for one in kept if one not in roster.members]:
-                del kept[one]
+        for by_sender in (self.windows, self.budgets):
+            for number in [number for number in by_sender if number not in roster.members]:
+                del by_sender[number]
 
-    def look(self, head, address, unix):
-        """Raises `DatagramError` for what need not be verified. `unix`: seconds."""
-        if head.group != self.roster.tag:
+    def check_header(self, header, address, unix):
+        """Does the checks that need no signature; raises `DatagramError`. `unix`: the time in seconds."""
+        if header.group != self.roster.tag:
             raise DatagramError(Refused.GROUP)
-        member = self.roster.members.get(head.sender)
-        if member is None or head.sender == self.roster.me or member.address != address:
+        member = self.roster.members.get(header.sender)
+        if member is None or header.sender == self.roster.me or member.address != address:
             raise DatagramError(Refused.STRANGER)
-        if head.receiver not in (self.roster.me, EVERYBODY):
+        if header.receiver not in (self.roster.me, BROADCAST):
             raise DatagramError(Refused.RECEIVER)
-        if head.life > unix + AHEAD:
+        if header.life > unix + MAX_LIFE_AHEAD_SECONDS:
             raise DatagramError(Refused.AHEAD)
-        window = self.windows.get(head.sender)
-        if window and head.life == window.life and not window.fresh(head.life, head.counter):
+        window = self.windows.get(header.sender)
+        if window and header.life == window.life and not window.is_fresh(header.life, header.counter):
             raise DatagramError(Refused.REPLAYED)
 
-    def verify(self, head, data, now):
-        if not self.may(head.sender, now):
+    def verify_datagram(self, header, data, now):
+        """Checks the signature within the sender's budget, then the life, and marks the counter as used. Raises
+        `DatagramError`."""
+        if not self.take_budget(header.sender, now):
             raise DatagramError(Refused.BUDGET)
-        if not self.checker.is_valid(head.sender, DATAGRAM, self.roster.digest, data[:-SIGNATURE], data[-SIGNATURE:]):
+        if not self.checker.is_valid(
+            header.sender, DATAGRAM, self.roster.digest, data[:-SIGNATURE_BYTES], data[-SIGNATURE_BYTES:]
+        ):
             raise DatagramError(Refused.SIGNATURE)
-        window = self.windows.setdefault(head.sender, Window())
-        if head.life < window.life:
+        window = self.windows.setdefault(header.sender, ReplayWindow())
+        if header.life < window.life:
             raise DatagramError(Refused.OLD_LIFE)
-        window.use(head.life, head.counter)
+        window.mark_used(header.life, header.counter)
 
-    def vouched(self, statement, sender, now):
-        """Whether a statement is its origin's: passed on by `sender`, whose budget it costs."""
-        if not self.may(sender, now):
+    def verify_statement(self, statement, sender, now):
+        """Whether the origin of a statement has signed it. The check uses up budget of `sender`, which passed it on."""
+        if not self.take_budget(sender, now):
             return False
         return self.checker.is_valid(
             statement.origin, STATEMENT, self.roster.digest, statement.signed, statement.signature
         )
 
-    def may(self, sender, now):
+    def take_budget(self, sender, now):
+        """Takes one verification from the budget of the sender and from the total. Returns whether both had one."""
         if sender not in self.budgets:
-            self.budgets[sender] = Bucket(VERIFIED, VERIFIED_BURST, now)
-        return self.budgets[sender].take(1, now) and self.whole.take(1, now)
+            self.budgets[sender] = TokenBucket(VERIFICATIONS_PER_SECOND, VERIFICATION_BURST, now)
+        return self.budgets[sender].take(1, now) and self.total_budget.take(1, now)
--- a/cranecleat/gossip/shell.py
+++ b/cranecleat/gossip/shell.py
@@ -1,4 +1,4 @@
-"""The UDP side of gossip: one socket, one timer step, one status file. Everything that is decided stands in `agent`."""
+"""The I/O of gossip: one UDP socket, one timer and one status file. All decisions are made in `agent`."""
 
 import asyncio
 import json
@@ -13,59 +13,64 @@
 from cranecleat.gossip.roster import Roster, RosterError
 from cranecleat.gossip.seal import Signer
 
-STATUS = 1_000_000  # microseconds between two status files
-TOLD = 1_000_000  # and between two words to the planner of the same claims: it halves what is not said again
+STATUS_INTERVAL_US = 1_000_000  # from one status file to the next
+# From one report of the same claims to the planner to the next. The planner halves what is not repeated.
+REPORT_INTERVAL_US = 1_000_000
 
 
-def signer_of(section):
-    """The coordinator's own key; it has to be one of those that the roster gives for it."""
+def load_signer(settings):
+    """The signer with the coordinator's own key, which has to be one of the keys that the roster has for it."""
     try:
-        signer = Signer(read_key_file(section.key))
-    except KeyFileError as wrong:
-        raise MalformedError(str(wrong)) from None
-    mine = next(member for member in section.members if member.name == section.me)
-    if signer.public not in mine.keys:
+        signer = Signer(read_key_file(settings.key))
+    except KeyFileError as error:
+        raise MalformedError(str(error)) from None
+    own = next(member for member in settings.members if member.name == settings.me)
+    if signer.public not in own.keys:
         raise MalformedError(
-            f"{section.key}: not a key that the roster gives for {section.me}; "
-            f"put the line of `cranecleat keys show {section.key}` there"
+            f"{settings.key}: the roster has other keys for {settings.me}; "
+            f"put the line of `cranecleat keys show {settings.key}` there"
         )
     return signer
 
 
-def roster_of(section):
+def build_roster(settings):
+    """The roster of the operator's file."""
     try:
-        return Roster(section.group, section.me, section.members)
-    except RosterError as wrong:
-        raise MalformedError(str(wrong)) from None
+        return Roster(settings.group, settings.me, settings.members)
+    except RosterError as error:
+        raise MalformedError(str(error)) from None
 
 
 class GossipTransport(asyncio.DatagramProtocol):
-    """Carries an agent's datagrams. A coordinator without peers has none of this."""
+    """Carries the datagrams of an agent over UDP. A coordinator without peers has no such object."""
 
-    def __init__(self, coordinator, section):
-        self.coordinator, self.section, self.transport = coordinator, section, None
+    def __init__(self, coordinator, settings):
+        self.coordinator = coordinator
+        self.settings = settings
+        self.transport = None
         self.agent = Agent(
-            roster_of(section),
-            signer_of(section),
+            build_roster(settings),
+            load_signer(settings),
             coordinator.configuration.seed,
             int(time.time()),
             coordinator.clock.now(),
-            rate=section.rate,
+            rate=settings.rate,
         )
         self.bridge = Bridge(coordinator.planner, coordinator.names)
-        self.next_status = self.next_told = coordinator.clock.now()
-        self.claimed = self.armed = False
-        self.unwritten = None  # why the status file could not be written, said once
+        self.next_status_at = self.next_report_at = coordinator.clock.now()
+        self.has_reported_claims = self.armed = False
+        self.status_error = None  # why the last status file could not be written; each reason is logged once
 
     async def open(self):
-        host, port = self.section.listen
+        """Opens the socket and starts the timer; raises `MalformedError` if the address cannot be used."""
+        host, port = self.settings.listen
         loop = asyncio.get_running_loop()
         try:
             await loop.create_datagram_endpoint(
                 lambda: self, (host, port), family=socket.AF_INET6 if ":" in host else socket.AF_INET
             )
-        except OSError as failure:
-            raise MalformedError(f"gossip cannot listen on {host}:{port}: {failure.strerror}") from None
+        except OSError as error:
+            raise MalformedError(f"gossip cannot listen on {host}:{port}: {error.strerror}") from None
         self.coordinator.log.info(
             "gossip_open", listen=f"{host}:{port}", members=len(self.agent.roster.members), life=self.agent.life
         )
@@ -74,8 +79,8 @@
     def connection_made(self, transport):
         self.transport = transport
 
-    def error_received(self, failure):
-        self.coordinator.log_aggregated("gossip_unsent", detail=failure.strerror)
+    def error_received(self, error):
+        self.coordinator.log_aggregated("gossip_unsent", detail=error.strerror)
 
     def send(self, datagrams):
         if self.transport and not self.transport.is_closing():
@@ -83,62 +88,70 @@
                 self.transport.sendto(data, address)
 
     def datagram_received(self, data, address):
-        before = self.agent.refused.total()
+        refused_before = self.agent.refused.total()
         self.send(self.agent.received(self.coordinator.clock.now(), time.time(), data, address[:2]))
-        if self.agent.refused.total() > before:
+        if self.agent.refused.total() > refused_before:
             self.coordinator.log_aggregated("gossip_refused", detail=f"from {address[0]}:{address[1]}")
 
     def step(self):
-        """All that is due, and the timer for what comes next."""
+        """Does all that is due and sets the timer for what is due next."""
         if self.transport.is_closing():
             return
         now = self.coordinator.clock.now()
         self.agent.observe(now, self.bridge.missing_answers())
         self.send(self.agent.tick(now, time.time()))
-        self.tell(now)
+        self.report_to_planner(now)
         for event, who, what in self.agent.events:
             self.coordinator.log.info(f"gossip_{event}", who=who, what=what)
         self.agent.events.clear()
-        if now >= self.next_status:
-            self.next_status = now + STATUS
+        if now >= self.next_status_at:
+            self.next_status_at = now + STATUS_INTERVAL_US
             self.write_status(now)
         self.coordinator.clock.call_at(max(self.agent.due(), now + 1000), self.step)
 
-    def tell(self, now):
-        """What others miss goes to the planner: at once where it is new, then once a cycle."""
+    def report_to_planner(self, now):
+        """Reports what other members miss to the planner: at once when there are claims for the first time or none any
+        more, otherwise once in an interval."""
         pooled = self.agent.pooled(now)
-        if pooled and (now >= self.next_told or not self.claimed) or self.claimed and not pooled:
-            self.next_told = now + TOLD
-            self.claimed = bool(pooled)
-            for call in self.bridge.events(pooled):
-                self.coordinator.queue_event(call)
+        is_report_due = now >= self.next_report_at or not self.has_reported_claims
+        if pooled and is_report_due or self.has_reported_claims and not pooled:
+            self.next_report_at = now + REPORT_INTERVAL_US
+            self.has_reported_claims = bool(pooled)
+            for event in self.bridge.events(pooled):
+                self.coordinator.queue_event(event)
 
     def write_status(self, now):
-        """Replaced whole, so that who reads it never sees half of one. Its failing holds nothing else up."""
-        if not self.section.status:
+        """Replaces the status file as a whole, so that a reader never sees a part of one. A failure is logged and stops
+        nothing else."""
+        if not self.settings.status:
             return
-        path = self.section.status
+        path = self.settings.status
         try:
             with open(f"{path}.new", "w", encoding="utf-8") as file:
-                json.dump({"at": round(time.time(), 3), **self.agent.figures(now)}, file)
+                json.dump({"at": round(time.time(), 3), **self.agent.status(now)}, file)
             os.replace(f"{path}.new", path)
-            self.unwritten = None
-        except OSError as failure:
-            if self.unwritten != failure.strerror:
-                self.coordinator.log.warning("gossip_no_status", path=str(path), says=failure.strerror)
-            self.unwritten = failure.strerror
-
-    def reload(self, section):
-        """The operator's file anew: keys and roster change in service. Where it listens does not."""
-        roster, signer = roster_of(section), signer_of(section)
+            self.status_error = None
+        except OSError as error:
+            if self.status_error != error.strerror:
+                self.coordinator.log.warning("gossip_no_status", path=str(path), says=error.strerror)
+            self.status_error = error.strerror
+
+    def reload(self, settings):
+        """Takes the key and the roster of the operator's file when it is read again. The other settings keep the values
+        of the start; the log line names those that differ."""
+        roster = build_roster(settings)
+        signer = load_signer(settings)
         self.agent.update_roster(roster, signer, self.coordinator.clock.now())
         kept = [
-            name for name in ("group", "listen", "me", "rate") if getattr(section, name) != getattr(self.section, name)
+            name
+            for name in ("group", "listen", "me", "rate")
+            if getattr(settings, name) != getattr(self.settings, name)
         ]
-        self.section = section
+        self.settings = settings
         self.coordinator.log.info("gossip_reloaded", members=len(roster.members), kept=",".join(kept) or None)
 
     def close(self):
+        """Tells the other members that this one leaves, and closes the socket."""
         if self.transport and not self.transport.is_closing():
             self.send(self.agent.leave(self.coordinator.clock.now()))
             self.transport.close()
--- a/cranecleat/gossip/wire.py
+++ b/cranecleat/gossip/wire.py
@@ -1,53 +1,57 @@
-"""Datagrams between coordinators: bytes in, one object or one refusal out. No I/O, no clock; big-endian throughout.
+"""The datagrams between coordinators: parses bytes into one object or refuses them. No I/O, no clock; big-endian.
 
-The layout stands byte for byte in docs/design/gossip.md. A datagram holds at most one statement: what one member, its
-origin, says of itself and of backends, signed by the origin and passed on as it is.
+docs/design/gossip.md specifies the layout byte for byte. A datagram carries at most one statement: what one member, its
+origin, says of itself and of backends. The origin signs it, and other members pass it on unchanged.
 """
 
 import enum
 import struct
 from dataclasses import dataclass, field
 
-LONGEST = 256  # bytes of a datagram, as PROTOCOL states
-MAGIC, VERSION = 0xC1, 1
-SIGNATURE = 64  # bytes (Ed25519)
-HEAD = struct.Struct(">BB4sHHIIBHHB")  # magic, version, group, sender, receiver, life, counter, kind, nonce, subject, n
+MAX_DATAGRAM_BYTES = 256  # the limit that PROTOCOL states
+MAGIC = 0xC1
+VERSION = 1
+SIGNATURE_BYTES = 64  # Ed25519
+# Magic, version, group, sender, receiver, life, counter, kind, nonce, subject, number of suspicions.
+HEADER = struct.Struct(">BB4sHHIIBHHB")
 SUSPICION = struct.Struct(">HIH")  # member, its life, its incarnation
-STATEMENT = struct.Struct(">HIHIBB")  # origin, life, incarnation, version, flags, entries
-ENTRY = struct.Struct(">8sBB")  # backend's key, sixteenths of answers missing, age in tenths of a second
-PARTS = 16  # of an answer: how finely missing ones are told, up to 255 of them
-ENTRIES = 8  # in a statement: with its two signatures that leaves room for one suspicion
-LEFT = 1  # flag: the origin leaves; any other bit is none that this version knows
+STATEMENT = struct.Struct(">HIHIBB")  # origin, life, incarnation, version, flags, number of entries
+ENTRY = struct.Struct(">8sBB")  # backend key, sixteenths of missing answers, age in tenths of a second
+PARTS_PER_ANSWER = 16  # missing answers are counted in these parts, up to 255 of them
+MAX_ENTRIES = 8  # of a statement; with two signatures in the datagram this leaves room for one suspicion
+FLAG_LEFT = 1  # the origin leaves; this version knows no other flag
 
 
 class Kind(enum.IntEnum):
-    PING = 1  # are you there? `subject` 0
-    ACK = 2  # yes; or for `subject`, whom the receiver asked for
-    ASK = 3  # ask `subject` for me
-    NACK = 4  # I did ask, and have heard nothing yet
-    RUMOUR = 5  # only what it carries
+    PING = 1  # asks the receiver for an answer; `subject` is 0
+    ACK = 2  # answers a ping; with a `subject`: that member has answered a ping sent for the receiver
+    ASK = 3  # asks the receiver to ping `subject`
+    NACK = 4  # answers an ask: `subject` was pinged and has not answered yet
+    RUMOUR = 5  # has no meaning beside what it carries
 
 
 class Refused(enum.Enum):
-    """Why a datagram was not used, the cheapest checks first."""
+    """Why a datagram was not used, in the order of the checks, the cheapest first."""
 
-    LENGTH = "length"  # over 256 bytes or too short for any
-    FORMAT = "format"  # not this format, or another version of it
+    LENGTH = "length"  # longer than 256 bytes, or too short for any datagram
+    FORMAT = "format"  # another format or version
     GROUP = "group"  # of another group
-    STRANGER = "stranger"  # its sender is not in the roster, or it comes from another address than the roster's
+    STRANGER = "stranger"  # the sender is not in the roster, or the roster has another address for it
     RECEIVER = "receiver"  # meant for another member
     OLD_LIFE = "old_life"  # of an earlier life of its sender
-    AHEAD = "ahead"  # a life that starts more than a day from now: somebody's clock is far off
-    REPLAYED = "replayed"  # seen before, or too old to tell
-    BUDGET = "budget"  # more to verify from that sender than it may cost
+    AHEAD = "ahead"  # of a life that starts more than a day from now: one of the two clocks is far off
+    REPLAYED = "replayed"  # received before, or too old to tell
+    BUDGET = "budget"  # that sender has used up its budget of verifications
     SIGNATURE = "signature"  # not signed with a key of its sender
-    BODY = "body"  # signed, and yet not readable: a member with another version, or a faulty one
+    BODY = "body"  # signed but malformed: the sender has another version or is faulty
 
 
 class DatagramError(ValueError):
-    def __init__(self, why):
-        super().__init__(why.value)
-        self.why = why
+    """A datagram that is refused, with the reason."""
+
+    def __init__(self, reason):
+        super().__init__(reason.value)
+        self.reason = reason
 
 
 @dataclass(slots=True)
@@ -65,13 +69,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Statement:
+    """What one member says of itself and of backends at one time."""
+
     origin: int
     life: int
     incarnation: int
-    version: int  # tenths of a second since the life began, and always more than the one before
-    left: bool
-    entries: tuple  # (key, sixteenths of answers missing, age in tenths of a second)
-    raw: bytes = field(compare=False, repr=False)  # as signed, signature included
+    version: int  # tenths of a second since the life began, and always more than in the statement before
+    has_left: bool
+    entries: tuple  # (backend key, sixteenths of missing answers, age in tenths of a second)
+    raw: bytes = field(compare=False, repr=False)  # as signed, with the signature
 
     @property
     def order(self):
@@ -79,71 +85,74 @@
 
     @property
     def signed(self):
-        return self.raw[:-SIGNATURE]
+        return self.raw[:-SIGNATURE_BYTES]
 
     @property
     def signature(self):
-        return self.raw[-SIGNATURE:]
+        return self.raw[-SIGNATURE_BYTES:]
 
 
-def pack(head, suspicions, statement):
-    """All but the signature. What does not fit is left out: the statement first has its place, then suspicions."""
+def pack(header, suspicions, statement):
+    """The bytes of a datagram without the signature. The statement has its place first; suspicions that do not fit
+    beside it are left out."""
     statement = statement or b""
-    room = LONGEST - HEAD.size - SIGNATURE - len(statement)
+    room = MAX_DATAGRAM_BYTES - HEADER.size - SIGNATURE_BYTES - len(statement)
     suspicions = list(suspicions)[: room // SUSPICION.size]
     return (
-        HEAD.pack(
+        HEADER.pack(
             MAGIC,
             VERSION,
-            head.group,
-            head.sender,
-            head.receiver,
-            head.life,
-            head.counter,
-            head.kind,
-            head.nonce,
-            head.subject,
+            header.group,
+            header.sender,
+            header.receiver,
+            header.life,
+            header.counter,
+            header.kind,
+            header.nonce,
+            header.subject,
             len(suspicions),
         )
-        + b"".join(SUSPICION.pack(*one) for one in suspicions)
+        + b"".join(SUSPICION.pack(*suspicion) for suspicion in suspicions)
         + statement
     )
 
 
-def read_head(data):
-    """What can be told before anything is verified."""
-    if not HEAD.size + SIGNATURE <= len(data) <= LONGEST:
+def read_header(data):
+    """Parses the header, which can be read before anything is verified. Raises `DatagramError`."""
+    if not HEADER.size + SIGNATURE_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
         raise DatagramError(Refused.LENGTH)
-    magic, version, *rest = HEAD.unpack_from(data)
+    magic, version, *rest = HEADER.unpack_from(data)
     if (magic, version) != (MAGIC, VERSION):
         raise DatagramError(Refused.FORMAT)
     return Header(*rest)
 
 
-def read_body(data, head):
-    """Suspicions and the statement of a datagram whose signature holds."""
-    start, end = HEAD.size, len(data) - SIGNATURE
-    stop = start + head.suspicions * SUSPICION.size
-    if stop > end or head.kind not in Kind._value2member_map_:
+def read_body(data, header):
+    """The suspicions and the statement (or None) of a datagram whose signature is valid. Raises `DatagramError`."""
+    start = HEADER.size
+    end = len(data) - SIGNATURE_BYTES
+    suspicions_end = start + header.suspicions * SUSPICION.size
+    if suspicions_end > end or header.kind not in Kind._value2member_map_:
         raise DatagramError(Refused.BODY)
-    suspicions = list(SUSPICION.iter_unpack(data[start:stop]))
-    return suspicions, read_statement(data[stop:end]) if stop < end else None
+    suspicions = list(SUSPICION.iter_unpack(data[start:suspicions_end]))
+    return suspicions, read_statement(data[suspicions_end:end]) if suspicions_end < end else None
 
 
 def read_statement(raw):
-    if len(raw) < STATEMENT.size + SIGNATURE:
+    """Parses a statement with its signature, which is not verified here. Raises `DatagramError`."""
+    if len(raw) < STATEMENT.size + SIGNATURE_BYTES:
         raise DatagramError(Refused.BODY)
     origin, life, incarnation, version, flags, count = STATEMENT.unpack_from(raw)
-    if flags & ~LEFT or count > ENTRIES or len(raw) != STATEMENT.size + count * ENTRY.size + SIGNATURE:
+    if flags & ~FLAG_LEFT or count > MAX_ENTRIES or len(raw) != STATEMENT.size + count * ENTRY.size + SIGNATURE_BYTES:
         raise DatagramError(Refused.BODY)
-    entries = tuple(ENTRY.iter_unpack(raw[STATEMENT.size : -SIGNATURE]))
+    entries = tuple(ENTRY.iter_unpack(raw[STATEMENT.size : -SIGNATURE_BYTES]))
     if len({key for key, _, _ in entries}) < count:
         raise DatagramError(Refused.BODY)
-    return Statement(origin, life, incarnation, version, bool(flags & LEFT), entries, raw)
+    return Statement(origin, life, incarnation, version, bool(flags & FLAG_LEFT), entries, raw)
 
 
-def pack_statement(origin, life, incarnation, version, left, entries):
-    """All but the signature."""
-    return STATEMENT.pack(origin, life, incarnation, version, LEFT if left else 0, len(entries)) + b"".join(
+def pack_statement(origin, life, incarnation, version, has_left, entries):
+    """The bytes of a statement without the signature."""
+    return STATEMENT.pack(origin, life, incarnation, version, FLAG_LEFT if has_left else 0, len(entries)) + b"".join(
         ENTRY.pack(*entry) for entry in entries
     )
--- a/cranecleat/operator/__init__.py
+++ b/cranecleat/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's file (KDL): what this installation switches on beside what the platform's configuration tells."""
+"""The operator's file (KDL): switches on parts of one installation that the platform's configuration does not cover."""
--- a/cranecleat/operator/document.py
+++ b/cranecleat/operator/document.py
@@ -1,30 +1,33 @@
-"""KDL text into nodes that know their place, and mistakes that name it. The codec is kdl-py's (KDL 1.0)."""
+"""Parses KDL text into nodes with their positions, and reports mistakes with the position of each.
+
+The parser is kdl-py (KDL 1.0).
+"""
 
 import difflib
 import ipaddress
 import re
 from dataclasses import dataclass
 
-UNITS = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}
-TIMES = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000, "h": 3_600_000_000}
+SIZE_UNITS = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20}  # in bytes
+TIME_UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000, "h": 3_600_000_000}  # in microseconds
 
 
 @dataclass(frozen=True, slots=True)
 class Mistake:
-    """What is wrong in a file, where, and what would be right."""
+    """What is wrong in a file, where, and how to correct it."""
 
     path: str
     line: int
     column: int
-    what: str
-    instead: str = ""
+    problem: str
+    hint: str = ""
 
     def __str__(self):
-        return f"{self.path}:{self.line}:{self.column}: {self.what}" + (f"; {self.instead}" if self.instead else "")
+        return f"{self.path}:{self.line}:{self.column}: {self.problem}" + (f"; {self.hint}" if self.hint else "")
 
 
 class DocumentError(ValueError):
-    """A file with mistakes, all of them at once."""
+    """All mistakes of a file together."""
 
     def __init__(self, mistakes):
         super().__init__("; ".join(map(str, mistakes)))
@@ -33,6 +36,8 @@
 
 @dataclass(slots=True)
 class Node:
+    """A KDL node: its arguments (`values`), its properties (`named`), its child nodes, and its position."""
+
     name: str
     values: list
     named: dict
@@ -41,133 +46,138 @@
     column: int
 
 
-def nodes_of(text, path):
-    """The nodes of a document in their order."""
+def parse_nodes(text, path):
+    """The nodes of a document in their order; raises `DocumentError` if it is not KDL."""
     import kdl
 
-    places = {}
+    positions = {}
 
-    def remember(node, fragment):
+    def remember_position(node, fragment):
         error = fragment.error("")
-        places[id(node)] = error.line, error.col, node  # the node is kept so that its id stays its own
+        positions[id(node)] = error.line, error.col, node  # keeps the node alive so that its id stays unique
         return node
 
     try:
-        document = kdl.parse(text, kdl.ParseConfig(nodeConverters={...: remember}))
-    except kdl.ParseError as wrong:
-        says = " ".join(str(wrong.msg).split()).partition("parse error: ")[2] or "this is no KDL"
-        instead = "strings stand in double quotes, blocks in braces"
-        raise DocumentError([Mistake(path, wrong.line, wrong.col, says, instead)]) from None
-
-    def plain(node):
-        line, column, _ = places[id(node)]
+        document = kdl.parse(text, kdl.ParseConfig(nodeConverters={...: remember_position}))
+    except kdl.ParseError as error:
+        problem = " ".join(str(error.msg).split()).partition("parse error: ")[2] or "this is not KDL"
+        hint = "put strings in double quotes and blocks in braces"
+        raise DocumentError([Mistake(path, error.line, error.col, problem, hint)]) from None
+
+    def convert(node):
+        line, column, _ = positions[id(node)]
         return Node(
             node.name,
-            [whole(value) for value in node.args],
-            {k: whole(v) for k, v in node.props.items()},
-            [plain(child) for child in node.nodes],
+            [integer_if_whole(value) for value in node.args],
+            {name: integer_if_whole(value) for name, value in node.props.items()},
+            [convert(child) for child in node.nodes],
             line,
             column,
         )
 
-    return [plain(node) for node in document.nodes]
+    return [convert(node) for node in document.nodes]
 
 
-def whole(value):
-    """KDL knows one kind of number; one without a fraction is shown as it was written."""
+def integer_if_whole(value):
+    """KDL has one type of number. One without a fraction becomes an integer, so that messages show it as written."""
     return int(value) if isinstance(value, float) and value.is_integer() else value
 
 
-class Reader:
-    """Reads the nodes of one place. Every mistake is kept, so that one look shows them all."""
+class NodeReader:
+    """Reads the values of nodes and collects all mistakes, so that one run shows them all."""
 
     def __init__(self, path, mistakes):
-        self.path, self.mistakes = path, mistakes
+        self.path = path
+        self.mistakes = mistakes
 
-    def wrong(self, node, what, instead=""):
-        self.mistakes.append(Mistake(self.path, node.line, node.column, what, instead))
+    def add_mistake(self, node, problem, hint=""):
+        self.mistakes.append(Mistake(self.path, node.line, node.column, problem, hint))
 
-    def known(self, node, children, allowed, where):
-        """A name that is none is said with the likeliest right one."""
+    def check_names(self, node, children, allowed, where):
+        """Reports each child whose name is not allowed, with the most similar name that is."""
         for child in children:
             if child.name not in allowed:
-                close = difflib.get_close_matches(child.name, allowed, 1)
-                self.wrong(
+                similar = difflib.get_close_matches(child.name, allowed, 1)
+                self.add_mistake(
                     child,
-                    f"{child.name!r} means nothing in {where}",
-                    f"did you mean {close[0]!r}?" if close else f"known are {', '.join(sorted(allowed))}",
+                    f"unknown name {child.name!r} in {where}",
+                    f"did you mean {similar[0]!r}?" if similar else f"known names: {', '.join(sorted(allowed))}",
                 )
 
-    def one(self, node, name, needed=True):
-        """The only child of that name, or None."""
+    def single_child(self, node, name, needed=True):
+        """The child with this name, or None. Reports more than one, and none if it is needed."""
         found = [child for child in node.children if child.name == name]
         for child in found[1:]:
-            self.wrong(child, f"{name!r} stands twice", "keep one of them")
+            self.add_mistake(child, f"{name!r} is given twice", "keep one of them")
         if not found and needed:
-            self.wrong(node, f"{node.name!r} has no {name!r}", f"add a line `{name} ...`")
+            self.add_mistake(node, f"{node.name!r} has no {name!r}", f"add a line `{name} ...`")
         return found[0] if found else None
 
-    def value(self, node, read, what):
-        """The single value of a node through `read`, which raises ValueError with what is wrong."""
+    def single_value(self, node, parse, expected):
+        """The single value of a node, parsed; None without a node or after a mistake. `parse` raises ValueError."""
         if node is None:
             return None
         if len(node.values) != 1 or node.named or node.children:
-            return self.wrong(node, f"{node.name!r} takes one value: {what}")
-        return self.tried(node, read, node.values[0], node.name, what)
+            return self.add_mistake(node, f"{node.name!r} takes one value: {expected}")
+        return self.parse_value(node, parse, node.values[0], node.name, expected)
 
-    def named(self, node, allowed):
-        """The named values of a node: {name: (read, what it is, needed)}."""
+    def named_values(self, node, allowed):
+        """The properties of a node, parsed. `allowed`: {name: (parse, what is expected, whether it is needed)}."""
         for name in node.named.keys() - allowed.keys():
-            close = difflib.get_close_matches(name, allowed, 1)
-            self.wrong(
+            similar = difflib.get_close_matches(name, allowed, 1)
+            self.add_mistake(
                 node,
-                f"{name!r} means nothing for {node.name!r}",
-                f"did you mean {close[0]!r}?" if close else f"known are {', '.join(sorted(allowed))}",
+                f"unknown name {name!r} in {node.name!r}",
+                f"did you mean {similar[0]!r}?" if similar else f"known names: {', '.join(sorted(allowed))}",
             )
         found = {}
-        for name, (read, what, needed) in allowed.items():
+        for name, (parse, expected, needed) in allowed.items():
             if name in node.named:
-                found[name] = self.tried(node, read, node.named[name], name, what)
+                found[name] = self.parse_value(node, parse, node.named[name], name, expected)
             elif needed:
-                self.wrong(node, f"{node.name!r} has no {name!r}", f"add `{name}=...`: {what}")
+                self.add_mistake(node, f"{node.name!r} has no {name!r}", f"add `{name}=...`: {expected}")
         return found
 
-    def tried(self, node, read, value, name, what):
+    def parse_value(self, node, parse, value, name, expected):
+        """The parsed value, or None after a mistake."""
         try:
-            return read(value)
-        except ValueError as failure:
-            self.wrong(node, f"{name} {value!r}: {failure}", f"it takes {what}")
+            return parse(value)
+        except ValueError as error:
+            self.add_mistake(node, f"{name} {value!r}: {error}", f"expected {expected}")
             return None
 
 
 def text(value):
+    """Parses text that is not empty."""
     if not isinstance(value, str) or not value:
-        raise ValueError("no text")
+        raise ValueError("this is not a text")
     return value
 
 
 def address(value):
+    """Parses "address:port" into the IP address and the port number."""
     host, colon, port = text(value).rpartition(":")
     if not (host and colon and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise ValueError("no address:port")
+        raise ValueError("this is not address:port")
     try:
         return str(ipaddress.ip_address(host.strip("[]"))), int(port)
     except ValueError:
-        raise ValueError("its host is no IP address, and names are not looked up") from None
+        raise ValueError("the host is not an IP address, and host names are not resolved") from None
 
 
-def amount(units, what):
-    """A reader of a figure with its unit, such as "6KiB" or "500ms": a bare number is a mistake."""
+def quantity(units, what):
+    """Makes a parser of a number with its unit, such as "6KiB" or "500ms". A number without a unit is a mistake."""
 
-    def read(value):
+    def parse(value):
         if isinstance(value, int | float) and not isinstance(value, bool):
-            raise ValueError("a unit is missing")
+            raise ValueError("the unit is missing")
         match = re.fullmatch(r"(\d+(?:\.\d+)?)\s*([A-Za-z]+)", text(value))
         if not match or match[2] not in units:
-            raise ValueError(f"no {what}")
+            raise ValueError(f"this is not a {what}")
         return round(float(match[1]) * units[match[2]])
 
-    return read
+    return parse
 
 
-size, span = amount(UNITS, "size"), amount(TIMES, "time")
+size = quantity(SIZE_UNITS, "size")
+duration = quantity(TIME_UNITS, "time")
--- a/cranecleat/operator/file.py
+++ b/cranecleat/operator/file.py
@@ -1,19 +1,24 @@
-"""The operator's file as what it switches on: `read(path, me)`; every mistake at once, each with its line."""
+"""Reads the operator's file into settings, or reports all its mistakes at once, each with its line."""
 
 from dataclasses import dataclass
 from pathlib import Path
 
-from cranecleat.operator.document import DocumentError, Mistake, Reader, address, nodes_of, size, span, text
+from cranecleat.operator.document import DocumentError, Mistake, NodeReader, address, duration, parse_nodes, size, text
 
 SECTIONS = ("gossip", "files")
-GOSSIP = ("group", "listen", "key", "rate", "status", "member")
-FILES = ("folder", "sync", "poll", "lose", "hold")
-POLL = 100_000  # microseconds: a tenth of a cycle, and a thousandth of a core for 1,000 reports that have not changed
-SLOWEST, FASTEST = 2 << 10, 1 << 20  # bytes a second: a probe and its answers; far more than rumours can use
+GOSSIP_NAMES = ("group", "listen", "key", "rate", "status", "member")
+FILES_NAMES = ("folder", "sync", "poll", "lose", "hold")
+# A tenth of a cycle. Polling 1,000 reports that have not changed this often takes a thousandth of a core.
+DEFAULT_POLL_US = 100_000
+# The range of `rate`: the least lets a probe and its answers through, the most is far more than rumours can use.
+MIN_BYTES_PER_SECOND = 2 << 10
+MAX_BYTES_PER_SECOND = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class GossipSettings:
+    """The section `gossip` for the coordinator `me`."""
+
     me: str
     group: str
     listen: tuple[str, int]
@@ -25,16 +30,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FilesSettings:
+    """The section `files`. Times are in microseconds."""
+
     folder: Path
-    sync: str  # one of disk.SYNCS
-    poll: int  # microseconds from one look at what comes back to the next
-    lose: int  # without a stream before a proxy is served through files
-    hold: int  # with a stream again before it goes back
+    sync: str  # one of disk.SYNC_MODES
+    poll: int  # from one look at the reports to the next
+    lose: int  # how long a proxy is without a stream before it is served through files
+    hold: int  # how long it has a stream again before files stop serving it
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
-    """What the operator's file says; a section that is not there is None, and what it switches on is off."""
+class OperatorSettings:
+    """The content of the operator's file. A section that is missing is None, and what it would switch on is off."""
 
     path: Path
     gossip: GossipSettings | None = None
@@ -42,90 +49,102 @@
 
 
 def read_operator_file(path, me=None):
-    """The operator's file at `path` for the coordinator `me` (None: any, for checks). Raises DocumentError."""
+    """Reads the operator's file at `path` for the coordinator `me`, or for any if `me` is None, as for a check. Raises
+    `DocumentError`."""
     path = Path(path)
     try:
-        written = path.read_text(encoding="utf-8")
-    except OSError as failure:
-        raise DocumentError([Mistake(str(path), 1, 1, f"cannot be read: {failure.strerror}")]) from None
-    except UnicodeDecodeError as failure:
-        raise DocumentError([Mistake(str(path), 1, 1, f"no UTF-8 at byte {failure.start}")]) from None
-    nodes, mistakes = nodes_of(written, str(path)), []
-    reader = Reader(str(path), mistakes)
+        content = path.read_text(encoding="utf-8")
+    except OSError as error:
+        raise DocumentError([Mistake(str(path), 1, 1, f"cannot be read: {error.strerror}")]) from None
+    except UnicodeDecodeError as error:
+        raise DocumentError([Mistake(str(path), 1, 1, f"not UTF-8 at byte {error.start}")]) from None
+    nodes = parse_nodes(content, str(path))
+    mistakes = []
+    reader = NodeReader(str(path), mistakes)
     if nodes:
-        reader.known(None, nodes, SECTIONS, "the operator's file")
-    found = {}
+        reader.check_names(None, nodes, SECTIONS, "the operator's file")
+    sections = {}
     for node in nodes:
-        if node.name in found:
-            reader.wrong(node, f"{node.name!r} stands twice", "put both into one")
+        if node.name in sections:
+            reader.add_mistake(node, f"{node.name!r} is given twice", "merge the two sections")
         elif node.name in SECTIONS:
-            found[node.name] = node
-    gossip = gossip_of(reader, found["gossip"], path.parent, me) if "gossip" in found else None
-    files = files_of(reader, found["files"], path.parent) if "files" in found else None
+            sections[node.name] = node
+    gossip = read_gossip(reader, sections["gossip"], path.parent, me) if "gossip" in sections else None
+    files = read_files(reader, sections["files"], path.parent) if "files" in sections else None
     if mistakes:
-        raise DocumentError(sorted(mistakes, key=lambda one: (one.line, one.column)))
-    return Operator(path, gossip, files)
+        raise DocumentError(sorted(mistakes, key=lambda mistake: (mistake.line, mistake.column)))
+    return OperatorSettings(path, gossip, files)
 
 
-def files_of(reader, node, folder):
+def read_files(reader, node, folder):
+    """Reads the section `files`; None if the file has mistakes. Paths start at `folder`."""
     from cranecleat.files.choice import STREAM_LOST_AFTER_US, STREAM_STABLE_AFTER_US
     from cranecleat.files.disk import SYNC_MODES
 
     def sync(value):
         if value not in SYNC_MODES:
-            raise ValueError("no way of syncing")
+            raise ValueError("unknown way of syncing")
         return value
 
-    reader.known(node, node.children, FILES, "'files'")
-    place = reader.value(reader.one(node, "folder"), text, "the path of a folder")
-    how = reader.value(reader.one(node, "sync", needed=False), sync, "one of " + ", ".join(SYNC_MODES))
-    spans = {
-        "poll": (POLL, 10_000, 10_000_000),
+    reader.check_names(node, node.children, FILES_NAMES, "'files'")
+    files_folder = reader.single_value(reader.single_child(node, "folder"), text, "the path of a folder")
+    sync_mode = reader.single_value(
+        reader.single_child(node, "sync", needed=False), sync, "one of " + ", ".join(SYNC_MODES)
+    )
+    # name: (default, least, most), replaced with the value below
+    times = {
+        "poll": (DEFAULT_POLL_US, 10_000, 10_000_000),
         "lose": (STREAM_LOST_AFTER_US, 100_000, 60_000_000),
         "hold": (STREAM_STABLE_AFTER_US, 0, 3_600_000_000),
     }
-    for called, (usual, least, most) in spans.items():
-        line = reader.one(node, called, needed=False)
-        told = reader.value(line, span, 'a time, such as "500ms"')
-        if told is not None and not least <= told <= most:
-            reader.wrong(line, f"{called} of {told / 1e6:g} s", f"it may be from {least / 1e6:g} to {most / 1e6:g} s")
-        spans[called] = usual if told is None else told
-    return None if reader.mistakes else FilesSettings(folder / place, how or "data", **spans)
-
-
-def gossip_of(reader, node, folder, me):
+    for name, (default, least, most) in times.items():
+        child = reader.single_child(node, name, needed=False)
+        value = reader.single_value(child, duration, 'a time, such as "500ms"')
+        if value is not None and not least <= value <= most:
+            reader.add_mistake(
+                child, f"{name} of {value / 1e6:g} s", f"it may be from {least / 1e6:g} to {most / 1e6:g} s"
+            )
+        times[name] = default if value is None else value
+    return None if reader.mistakes else FilesSettings(folder / files_folder, sync_mode or "data", **times)
+
+
+def read_gossip(reader, node, folder, me):
+    """Reads the section `gossip` for the coordinator `me` (None: any); None if the file has mistakes. Paths start at
+    `folder`."""
     from cranecleat.gossip.agent import DEFAULT_BYTES_PER_SECOND
     from cranecleat.gossip.keys import decode
     from cranecleat.gossip.roster import Member, Roster, RosterError
 
-    reader.known(node, node.children, GOSSIP, "'gossip'")
-    group = reader.value(reader.one(node, "group"), text, "a name that all members write alike")
-    listen = reader.value(reader.one(node, "listen"), address, '"address:port" for UDP')
-    key = reader.value(reader.one(node, "key"), text, "the path of a file made by `cranecleat keys new`")
-    rate_node = reader.one(node, "rate", needed=False)
-    rate = reader.value(rate_node, size, 'bytes a second, such as "6KiB"')
-    if rate is not None and not SLOWEST <= rate <= FASTEST:
-        reader.wrong(rate_node, f"rate of {rate} bytes a second", "it may be from 2KiB to 1MiB")
-    status = reader.value(reader.one(node, "status", needed=False), text, "the path of a file that is replaced")
-    members, shape = (
-        [],
-        {
-            "at": (address, '"address:port" for UDP', True),
-            "key": (decode, "the line that `cranecleat keys show` prints", True),
-            "next": (decode, "a second public key, while one replaces the other", False),
-        },
+    reader.check_names(node, node.children, GOSSIP_NAMES, "'gossip'")
+    group = reader.single_value(reader.single_child(node, "group"), text, "a name, the same for all members")
+    listen = reader.single_value(reader.single_child(node, "listen"), address, '"address:port" for UDP')
+    key = reader.single_value(
+        reader.single_child(node, "key"), text, "the path of a file made by `cranecleat keys new`"
+    )
+    rate_node = reader.single_child(node, "rate", needed=False)
+    rate = reader.single_value(rate_node, size, 'bytes a second, such as "6KiB"')
+    if rate is not None and not MIN_BYTES_PER_SECOND <= rate <= MAX_BYTES_PER_SECOND:
+        reader.add_mistake(rate_node, f"rate of {rate} bytes a second", "it may be from 2KiB to 1MiB")
+    status = reader.single_value(
+        reader.single_child(node, "status", needed=False), text, "the path of a file that is replaced"
     )
-    lines = [child for child in node.children if child.name == "member"]
-    for child in lines:
+    members = []
+    member_values = {
+        "at": (address, '"address:port" for UDP', True),
+        "key": (decode, "the line that `cranecleat keys show` prints", True),
+        "next": (decode, "a second public key, while one replaces the other", False),
+    }
+    member_nodes = [child for child in node.children if child.name == "member"]
+    for child in member_nodes:
         if len(child.values) != 1 or not isinstance(child.values[0], str):
-            reader.wrong(child, "'member' takes one name", 'such as member "n0" at="..." key="..."')
+            reader.add_mistake(child, "'member' takes one name", 'such as member "n0" at="..." key="..."')
             continue
-        told = reader.named(child, shape)
-        if all(told.get(name) for name in ("at", "key")):
-            keys = tuple(dict.fromkeys(key for key in (told["key"], told.get("next")) if key))
-            members.append((child, Member(child.values[0], told["at"], keys)))
-    if not lines:
-        reader.wrong(node, "'gossip' has no 'member'", "add a line for each coordinator, this one among them")
+        values = reader.named_values(child, member_values)
+        if all(values.get(name) for name in ("at", "key")):
+            keys = tuple(dict.fromkeys(key for key in (values["key"], values.get("next")) if key))
+            members.append((child, Member(child.values[0], values["at"], keys)))
+    if not member_nodes:
+        reader.add_mistake(node, "'gossip' has no 'member'", "add a line for each coordinator, also for this one")
     roster = None
     for child, member in members:
         try:
@@ -133,11 +152,11 @@
                 roster = Roster(group or "", member.name, [member])
             else:
                 roster.add(member)
-        except RosterError as wrong:
-            reader.wrong(child, str(wrong))
-    if me is not None and lines and me not in [child.values[0] for child in lines if child.values]:
-        reader.wrong(
-            node, f"no member is called {me!r}, as this coordinator is", f'add member "{me}" at="..." key="..."'
+        except RosterError as error:
+            reader.add_mistake(child, str(error))
+    if me is not None and member_nodes and me not in [child.values[0] for child in member_nodes if child.values]:
+        reader.add_mistake(
+            node, f"no member has the name of this coordinator, {me!r}", f'add member "{me}" at="..." key="..."'
         )
     if reader.mistakes:
         return None
--- a/tests/gossip_harness.py
+++ b/tests/gossip_harness.py
@@ -1,4 +1,4 @@
-"""Members of a gossip for tests: agents in simulated time, and couriers on real UDP sockets of this machine."""
+"""Gossip members for tests: agents in simulated time, and transports on real UDP sockets of this machine."""
 
 import asyncio
 import socket
@@ -13,28 +13,33 @@
 from cranecleat.rehearsal.network import Token, TokenChecker
 from cranecleat.service.clock import Clock
 
-EPOCH = 1_700_000_000
-SECOND = 1_000_000
+EPOCH = 1_700_000_000  # Unix time in seconds at which the simulated time begins
+SECOND = 1_000_000  # microseconds
 
 
-def secret(name):
+def secret_key(name):
     return name.encode().ljust(32, b".")
 
 
-def names(count):
+def member_names(count):
     return [f"n{i}" for i in range(count)]
 
 
-class Group:
-    """Agents with signatures that cost nothing, each at the address (name, 1); time goes by in `run`."""
+class SimulatedGroup:
+    """Agents with stand-in signatures that cost nothing, each at the address (name, 1). `run` lets time pass."""
 
     def __init__(self, count, seed=1, rate=DEFAULT_BYTES_PER_SECOND):
-        self.now, self.lost, self.apart, self.log = 0, lambda sender, to, data: False, set(), []
-        self.members = [Member(name, (name, 1), (Token(name).public,)) for name in names(count)]
-        self.rate, self.seed, self.agents = rate, seed, {}
-        for name in names(count):
+        self.now = 0
+        self.is_lost = lambda sender, receiver, data: False
+        self.partitioned = set()  # names that only reach each other
+        self.log = []
+        self.members = [Member(name, (name, 1), (Token(name).public,)) for name in member_names(count)]
+        self.rate = rate
+        self.seed = seed
+        self.agents = {}
+        for name in member_names(count):
             self.start(name)
-        self.sent = {name: 0 for name in names(count)}
+        self.bytes_sent = {name: 0 for name in member_names(count)}
 
     def start(self, name, life=EPOCH):
         roster = Roster("test", name, self.members)
@@ -52,33 +57,35 @@
     def unix(self):
         return EPOCH + self.now // SECOND
 
-    def carry(self, sender, datagrams):
-        for (to, _), data in datagrams:
-            self.sent[sender] += len(data) + 28
-            there = to in self.agents and (sender in self.apart) == (to in self.apart)
-            if there and not self.lost(sender, to, data):
-                self.carry(to, self.agents[to].received(self.now, self.unix(), data, (sender, 1)))
+    def deliver(self, sender, datagrams):
+        """Hands the datagrams to their receivers, and the answers to theirs."""
+        for (receiver, _), data in datagrams:
+            self.bytes_sent[sender] += len(data) + 28
+            is_reachable = receiver in self.agents and (sender in self.partitioned) == (receiver in self.partitioned)
+            if is_reachable and not self.is_lost(sender, receiver, data):
+                self.deliver(receiver, self.agents[receiver].received(self.now, self.unix(), data, (sender, 1)))
 
     def run(self, seconds, step=0.05, each=None):
+        """Lets time pass in steps; calls `each` in every step."""
         for _ in range(round(seconds / step)):
             self.now += round(step * SECOND)
             if each:
                 each()
             for name, agent in list(self.agents.items()):
-                self.carry(name, agent.tick(self.now, self.unix()))
+                self.deliver(name, agent.tick(self.now, self.unix()))
                 self.log += [f"{self.now / SECOND:6.2f}  {name}: {who} {what}" for _, who, what in agent.events]
                 agent.events.clear()
 
-    def states(self, name):
-        """How many members that one believes to be in each state."""
-        found = {}
-        for s in self.agents[name].members.standing.values():
-            found[s.state] = found.get(s.state, 0) + 1
-        return found
+    def count_states(self, name):
+        """How many members the one with this name believes to be in each state."""
+        counts = {}
+        for record in self.agents[name].members.records.values():
+            counts[record.state] = counts.get(record.state, 0) + 1
+        return counts
 
 
-class Planned:
-    """What a courier asks of a planner: `misses` is set by the test, calls are kept."""
+class PlannerStub:
+    """The part of a planner that a transport uses. A test sets `missing`."""
 
     def __init__(self, backends):
         self.backends = {b: SimpleNamespace(started=0) for b in range(backends)}
@@ -88,65 +95,69 @@
         return self.missing
 
 
-class Hub:
-    """As much of a coordinator as a courier needs."""
+class CoordinatorStub:
+    """The part of a coordinator that a transport uses. `doubts`: the last reported claim for each backend."""
 
     def __init__(self, name, backends):
         self.clock = Clock(asyncio.get_running_loop(), time.time())
         self.configuration = SimpleNamespace(seed=name)
-        self.planner, self.names = Planned(backends), SimpleNamespace(ids=[f"s-{b}" for b in range(backends)])
-        self.calls, self.doubts, self.counted = [], {}, {}
+        self.planner = PlannerStub(backends)
+        self.names = SimpleNamespace(ids=[f"s-{b}" for b in range(backends)])
+        self.events = []
+        self.doubts = {}
+        self.counted = {}
         self.log = SimpleNamespace(info=lambda *_, **__: None, warning=lambda *_, **__: None)
 
-    def queue_event(self, call):
-        self.calls.append(call)
-        self.doubts[call[1]] = call[2]
+    def queue_event(self, event):
+        self.events.append(event)
+        self.doubts[event[1]] = event[2]
 
     def log_aggregated(self, event, detail=None, **_):
         self.counted[event] = self.counted.get(event, 0) + 1
 
 
-def sections(folder, count, keys=None, rate=DEFAULT_BYTES_PER_SECOND):
-    """Sections of operator's files for `count` members on free ports of this machine, with key files in `folder`."""
-    free = []
+def make_settings(folder, count, keys=None, rate=DEFAULT_BYTES_PER_SECOND):
+    """Settings of `count` members on free ports of this machine, with key files in `folder`."""
+    sockets = []
     for _ in range(count):
-        taken = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        taken.bind(("127.0.0.1", 0))
-        free.append(taken)
-    places = [one.getsockname() for one in free]
-    for one in free:
-        one.close()
+        udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        udp_socket.bind(("127.0.0.1", 0))
+        sockets.append(udp_socket)
+    addresses = [udp_socket.getsockname() for udp_socket in sockets]
+    for udp_socket in sockets:
+        udp_socket.close()
     members = tuple(
-        Member(name, place, (Signer(secret(name)).public,)) for name, place in zip(names(count), places, strict=True)
+        Member(name, address, (Signer(secret_key(name)).public,))
+        for name, address in zip(member_names(count), addresses, strict=True)
     )
-    for name in names(count):
-        write_key(folder / f"{name}.key", secret(name))
+    for name in member_names(count):
+        write_key(folder / f"{name}.key", secret_key(name))
     return [
-        GossipSettings(name, "test", place, folder / f"{name}.key", rate, None, members)
-        for name, place in zip(names(count), places, strict=True)
+        GossipSettings(name, "test", address, folder / f"{name}.key", rate, None, members)
+        for name, address in zip(member_names(count), addresses, strict=True)
     ]
 
 
 def write_key(path, key):
-    from cranecleat.gossip.keys import WORD, encode
+    from cranecleat.gossip.keys import FORMAT_NAME, encode
 
-    path.write_text(f"{WORD} {encode(key)}\n")
+    path.write_text(f"{FORMAT_NAME} {encode(key)}\n")
     path.chmod(0o600)
 
 
-async def couriers(folder, count, backends=6, **more):
-    """Real couriers, open."""
-    found = []
-    for section in sections(folder, count, **more):
-        courier = GossipTransport(Hub(section.me, backends), section)
-        await courier.open()
-        found.append(courier)
-    return found
+async def open_transports(folder, count, backends=6, **more):
+    """Opens transports on real sockets."""
+    transports = []
+    for settings in make_settings(folder, count, **more):
+        transport = GossipTransport(CoordinatorStub(settings.me, backends), settings)
+        await transport.open()
+        transports.append(transport)
+    return transports
 
 
-async def until(holds, seconds=20):
-    """Waits for something to hold; fails if it never does."""
+async def wait_until(condition, seconds=20):
+    """Waits until the condition holds; fails if it does not in time."""
     deadline = time.monotonic() + seconds
-    while not holds():
-        assert time.monotonic() < deadline, "it never came"
+    while not condition():
+        assert time.monotonic() < deadline, "the condition did not hold in time"
         await asyncio.sleep(0.02)
