--- a/cranecleat/gossip/agent.py
+++ b/cranecleat/gossip/agent.py
@@ -178,7 +178,7 @@
 
     def received(self, now, unix, data, address):
         """Handles one datagram and returns those that answer it. One that is refused is counted by its reason and has
-        no other effect."""
+        no other effect, except that one of an earlier life is answered with the life that is known here."""
         self.counts["received"] += 1
         try:
             header = wire.read_header(data)
@@ -188,8 +188,7 @@
         except DatagramError as error:
             self.refused[error.reason] += 1
             if error.reason is Refused.OLD_LIFE:
-                # The signature is valid: this is an older datagram, or the clock of the sender was set back. The answer
-                # tells the sender the life that is known here.
+                # The signature is valid: this is an older datagram, or the clock of the sender was set back.
                 record = self.members.records[header.sender]
                 return self.send(
                     now,
--- a/cranecleat/gossip/wire.py
+++ b/cranecleat/gossip/wire.py
@@ -2,6 +2,9 @@
 
 docs/design/gossip.md specifies the layout byte for byte. A datagram carries at most one statement: what one member, its
 origin, says of itself and of backends. The origin signs it, and other members pass it on unchanged.
+
+A life is one run of a member, numbered by the Unix time of its start in seconds. Within a life, the incarnation rises
+each time the member refutes a suspicion.
 """
 
 import enum
@@ -31,7 +34,7 @@
 
 
 class Refused(enum.Enum):
-    """Why a datagram was not used, in the order of the checks, the cheapest first."""
+    """Why a datagram was not used, roughly in the order of the checks, the cheapest first."""
 
     LENGTH = "length"  # longer than 256 bytes, or too short for any datagram
     FORMAT = "format"  # another format or version
@@ -56,14 +59,16 @@
 
 @dataclass(slots=True)
 class Header:
-    group: bytes
+    """The first part of a datagram. Members are named by their numbers."""
+
+    group: bytes  # its tag
     sender: int
-    receiver: int
-    life: int
-    counter: int
+    receiver: int  # 0: all members
+    life: int  # of the sender
+    counter: int  # of the datagrams of this life, against replay
     kind: int
-    nonce: int
-    subject: int
+    nonce: int  # matches an answer to its question
+    subject: int  # the member that is asked for; 0: none
     suspicions: int  # how many follow
 
 
