--- a/cranecleat/bookkeeping/__init__.py
+++ b/cranecleat/bookkeeping/__init__.py
@@ -1,6 +1,6 @@
-"""What the planner would otherwise sum anew over all proxies: kept as each call changes it. No decisions, no tuned
-values.
+"""State that the planner keeps up to date event by event, instead of summing it anew over all proxies in each round.
 
-`demand`: calls a second by route and zone, newcomers apart. `users`: who is bound to which table, who waits. Both are
-held against the plain sums in tests/test_bookkeeping.py.
+The modules make no decisions and hold no tuned values. `demand` keeps calls per second by route and zone, with
+newcomers counted separately. `users` keeps which proxies are bound to which table and which still wait for one. Both
+are compared with plain sums in tests/test_bookkeeping.py.
 """
--- a/cranecleat/bookkeeping/demand.py
+++ b/cranecleat/bookkeeping/demand.py
@@ -1,133 +1,157 @@
 """Demand by route and zone, as sums that change with each join, leave and report.
 
-Rates are kept as whole numbers of 2**-52 calls a second, so that sums are exact: what is added and taken away again
-leaves nothing behind, in any order and however often. A rate is off by 2**-53 calls a second at the most.
+Rates are kept as whole numbers of 2**-52 calls per second, so that sums are exact: a value that is added and later
+subtracted leaves nothing behind, in any order and however often. A rate is off by at most 2**-53 calls per second.
 """
 
 from bisect import bisect_right
 
-UNIT = 2**52
+UNIT = 2**52  # units in one call per second
 
 
 class Demand:
-    """`routes`: how many. Proxies are kept in the order in which they joined, which is that of time."""
+    """Sums over proxies, which are kept in the order in which they joined, that is, by time.
+
+    `routes` is the number of routes. A newcomer is a proxy that joined after the time given to `update_settled`; the
+    others are settled. A proxy's typical rate is the rate that it states when it joins.
+    """
 
     def __init__(self, routes):
         self.routes = range(routes)
-        self.totals, self.mute, self.young = [0] * routes, [0] * routes, [0] * routes
-        self.whole, self.zones, self.newcomers, self.typicals = 0, {}, 0, {}
-        self.known = {}  # proxy -> [zone, typical, since, {route: rate}, settled, its place's count]
-        self.order, self.edge = [], 0  # (since, count, proxy) by time; how many of them have settled
-        self.count = 0
-
-    # One proxy: `totals` is what was heard, `mute` the typical rates of those not heard at all, `young` those of
-    # newcomers that were heard of other routes only.
-
-    def calls(self, known):
+        # By route: rates that were reported, typical rates of proxies that have reported nothing yet, and typical rates
+        # of newcomers that have reported other routes only.
+        self.reported, self.unreported, self.unreported_newcomers = [0] * routes, [0] * routes, [0] * routes
+        self.total = 0  # rates of all proxies
+        self.rate_by_zone = {}
+        self.newcomers = 0  # rates of newcomers
+        self.typical_by_zone = {}
+        self.known = {}  # proxy -> [zone, typical rate, joined at, {route: rate}, is settled, its number in `order`]
+        self.order = []  # (joined at, number, proxy) by time
+        self.settled_count = 0  # so many of `order`, from its start, have settled
+        self.join_count = 0
+
+    # Changes by one proxy
+
+    def rate_of(self, known):
+        """The rate of one proxy: what it has reported, or its typical rate until then."""
         return sum(known[3].values()) if known[3] else known[1]
 
-    def change(self, proxy, known, sign):
-        calls = sign * self.calls(known)
-        self.whole += calls
-        self.newcomers += 0 if known[4] else calls
-        self.typicals[known[0]] = self.typicals.get(known[0], 0) + sign * known[1]
-        self.zones[known[0]] = self.zones.get(known[0], 0) + calls
+    def add_to_sums(self, proxy, known, sign):
+        """Adds a proxy to all sums, or takes it away again with a `sign` of -1."""
+        zone, typical, _, reported, is_settled, _ = known
+        rate = sign * self.rate_of(known)
+        self.total += rate
+        self.newcomers += 0 if is_settled else rate
+        self.typical_by_zone[zone] = self.typical_by_zone.get(zone, 0) + sign * typical
+        self.rate_by_zone[zone] = self.rate_by_zone.get(zone, 0) + rate
         for route in self.routes:
-            if route in known[3]:
-                self.totals[route] += sign * known[3][route]
-            elif not known[3]:
-                self.mute[route] += sign * known[1]
-            elif not known[4]:
-                self.young[route] += sign * known[1]
-
-    def join(self, proxy, zone, typical, since):
-        """Returns the typical rate as it is counted."""
+            if route in reported:
+                self.reported[route] += sign * reported[route]
+            elif not reported:
+                self.unreported[route] += sign * typical
+            elif not is_settled:
+                self.unreported_newcomers[route] += sign * typical
+
+    def join(self, proxy, zone, typical_rate, joined_at):
+        """Adds a proxy; returns its typical rate as it is counted."""
         self.leave(proxy)
-        self.count += 1
-        known = self.known[proxy] = [zone, round(typical * UNIT), since, {}, False, self.count]
-        self.order.append((since, self.count, proxy))
-        if len(self.order) > 2 * len(self.known) + 64:  # those that have left meanwhile
+        self.join_count += 1
+        known = self.known[proxy] = [zone, round(typical_rate * UNIT), joined_at, {}, False, self.join_count]
+        self.order.append((joined_at, self.join_count, proxy))
+        if len(self.order) > 2 * len(self.known) + 64:  # entries of proxies that have left in the meantime
             self.prune()
-        self.change(proxy, known, 1)
+        self.add_to_sums(proxy, known, 1)
         return known[1] / UNIT
 
     def leave(self, proxy):
         known = self.known.pop(proxy, None)
         if known:
-            self.change(proxy, known, -1)
+            self.add_to_sums(proxy, known, -1)
 
     def prune(self):
-        """Forgets places of those that have left or joined anew; what is kept is bounded by who is joined."""
-        live = [place for place in self.order if place[2] in self.known and self.known[place[2]][5] == place[1]]
-        settled = self.order[self.edge - 1] if self.edge else None
-        self.order = live
-        self.edge = bisect_right(live, settled) if settled else 0
+        """Drops entries of proxies that have left or joined again, so that the joined proxies bound the memory."""
+        current = [entry for entry in self.order if entry[2] in self.known and self.known[entry[2]][5] == entry[1]]
+        last_settled = self.order[self.settled_count - 1] if self.settled_count else None
+        self.order = current
+        self.settled_count = bisect_right(current, last_settled) if last_settled else 0
 
     def report_rate(self, proxy, route, rate):
-        """What one proxy's calls of a route are from now on; returns it as it is counted."""
+        """Sets the rate of a proxy's calls on a route from now on; returns it as it is counted."""
         known = self.known[proxy]
-        self.change(proxy, known, -1)
+        self.add_to_sums(proxy, known, -1)
         known[3][route] = round(rate * UNIT)
-        self.change(proxy, known, 1)
+        self.add_to_sums(proxy, known, 1)
         return known[3][route] / UNIT
 
     def update_settled(self, since):
-        """Who joined at `since` or before is no newcomer. It may go back, too, as it rests on what is learned."""
-        edge = self.edge  # it seldom moves far
-        while edge < len(self.order) and self.order[edge][0] <= since:
-            edge += 1
-        while edge and self.order[edge - 1][0] > since:
-            edge -= 1
-        if edge == self.edge:
+        """Proxies that joined at `since` or before are settled.
+
+        `since` may also go back, as it depends on the learned report interval.
+        """
+        settled_count = self.settled_count  # it seldom moves far
+        while settled_count < len(self.order) and self.order[settled_count][0] <= since:
+            settled_count += 1
+        while settled_count and self.order[settled_count - 1][0] > since:
+            settled_count -= 1
+        if settled_count == self.settled_count:
             return
-        for _, count, proxy in self.order[min(edge, self.edge) : max(edge, self.edge)]:
+        moved = self.order[min(settled_count, self.settled_count) : max(settled_count, self.settled_count)]
+        for _, number, proxy in moved:
             known = self.known.get(proxy)
-            if known and known[5] == count:
-                self.change(proxy, known, -1)
-                known[4] = edge > self.edge
-                self.change(proxy, known, 1)
-        self.edge = edge
+            if known and known[5] == number:
+                self.add_to_sums(proxy, known, -1)
+                known[4] = settled_count > self.settled_count
+                self.add_to_sums(proxy, known, 1)
+        self.settled_count = settled_count
 
-    # What the planner reads, in calls a second
+    # Results, in calls per second
 
     def by_route(self):
-        """What was heard; what is only typical, of those not heard of it that count."""
+        """Two lists by route: rates that were reported, and typical rates that stand in for missing reports."""
         return (
-            [total / UNIT for total in self.totals],
-            [(mute + young) / UNIT for mute, young in zip(self.mute, self.young, strict=True)],
+            [reported / UNIT for reported in self.reported],
+            [
+                (unreported + newcomers) / UNIT
+                for unreported, newcomers in zip(self.unreported, self.unreported_newcomers, strict=True)
+            ],
         )
 
     def expected_rates(self):
-        """By route: what was heard, and what is only typical in the mix of what was heard."""
-        totals, mute = self.by_route()
-        heard = sum(totals)
-        return [t + more * (t / heard if heard else 1 / len(totals)) for t, more in zip(totals, mute, strict=True)]
+        """By route: the reported rate, plus the unreported one, split by route as the reported rates are."""
+        reported, unreported = self.by_route()
+        total = sum(reported)
+        return [
+            rate + more * (rate / total if total else 1 / len(reported))
+            for rate, more in zip(reported, unreported, strict=True)
+        ]
 
     def total_rate(self):
-        return self.whole / UNIT
+        return self.total / UNIT
 
     def newcomer_rate(self):
         return self.newcomers / UNIT
 
     def zone_rate(self, zone):
-        return self.zones.get(zone, 0) / UNIT
+        return self.rate_by_zone.get(zone, 0) / UNIT
 
     def active_zone_count(self):
         """How many zones have proxies with calls."""
-        return sum(calls > 0 for calls in self.zones.values())
+        return sum(rate > 0 for rate in self.rate_by_zone.values())
 
     def typical_rate(self, zone=None):
-        """What proxies call typical, of one zone or of all."""
-        return (sum(self.typicals.values()) if zone is None else self.typicals.get(zone, 0)) / UNIT
+        """The sum of the proxies' typical rates, in one zone or in all."""
+        return (sum(self.typical_by_zone.values()) if zone is None else self.typical_by_zone.get(zone, 0)) / UNIT
+
 
+def equal_limit(rates, total):
+    """The limit that, applied equally to each of these rates, admits `total`.
 
-def equal_limit(rates, whole):
-    """The limit that, the same for each of these rates, lets `whole` in; where all of them fit, the largest rate's part
-    of what is left."""
-    left, limit = min(whole, sum(rates)), 0.0
+    If all rates fit into `total`, it is the largest rate.
+    """
+    remaining, limit = min(total, sum(rates)), 0.0
     for place, rate in enumerate(sorted(rates)):
-        limit = left / (len(rates) - place)
+        limit = remaining / (len(rates) - place)
         if rate >= limit:
             break
-        left -= rate
+        remaining -= rate
     return limit
--- a/cranecleat/bookkeeping/layout.py
+++ b/cranecleat/bookkeeping/layout.py
@@ -1,37 +1,40 @@
-"""Which tables there are, and their numbers. Follows from the start-up figures and the number of sections alone."""
+"""Which tables exist, and their numbers. This follows from the start-up figures and the number of subsets alone."""
 
 
 class Layout:
-    """One shared table a route, or one for each zone where it may not leave the proxy's. Where the fleet is parted into
-    sections, one in each for all routes that may go to the same backends. Iterates over (table, its routes, zone,
-    section); a table's number modulo that of the routes is its first route."""
+    """All tables; iterates over (table, its routes, zone, subset).
 
-    def __init__(self, routes, zones, sections=0):
+    There is one shared table for each route, or one for each zone if the route may not leave the proxy's zone. Where
+    the fleet is split into subsets, each subset has one table for all routes that may go to the same backends. A
+    table's number modulo the number of routes is its first route.
+    """
+
+    def __init__(self, routes, zones, subsets=0):
         groups = {}
         for number, route in enumerate(routes):
-            groups.setdefault((route.own_zone, route.kinds, route.zones) if sections else number, []).append(number)
-        self.route_groups = [tuple(numbers) for numbers in groups.values()]  # a proxy is bound to a table for each
+            groups.setdefault((route.own_zone, route.kinds, route.zones) if subsets else number, []).append(number)
+        self.route_groups = [tuple(numbers) for numbers in groups.values()]  # a proxy is bound to one table for each
         self.tables = []
         for numbers in self.route_groups:
             for zone in range(zones) if routes[numbers[0]].own_zone else [None]:
-                for section in range(sections or 1):
-                    place = (0 if zone is None else 1 + zone) + (1 + zones) * section
-                    self.tables.append((numbers[0] + len(routes) * place, numbers, zone, section))
-        self.of = {}  # (section, zone) -> [(table, its routes)]
-        for table, numbers, zone, section in self.tables:
-            self.of.setdefault((section, zone), []).append((table, numbers))
+                for subset in range(subsets or 1):
+                    place = (0 if zone is None else 1 + zone) + (1 + zones) * subset
+                    self.tables.append((numbers[0] + len(routes) * place, numbers, zone, subset))
+        self.by_place = {}  # (subset, zone) -> [(table, its routes)]
+        for table, numbers, zone, subset in self.tables:
+            self.by_place.setdefault((subset, zone), []).append((table, numbers))
 
     def __iter__(self):
         return iter(self.tables)
 
-    def tables_for(self, section, zone):
-        """Tables of a proxy of that zone."""
-        return self.of.get((section, None), []) + self.of.get((section, zone), [])
+    def tables_for(self, subset, zone):
+        """The tables of a proxy of that subset and zone, as (table, its routes)."""
+        return self.by_place.get((subset, None), []) + self.by_place.get((subset, zone), [])
 
 
 def sum_by_table(wants):
-    """Sums of what is kept by (table, route), as (table, None)."""
-    whole = {}
+    """Sums values that are kept by (table, route); the keys of the result are (table, None)."""
+    totals = {}
     for (table, _), want in wants.items():
-        whole[table, None] = whole.get((table, None), 0.0) + want
-    return whole
+        totals[table, None] = totals.get((table, None), 0.0) + want
+    return totals
--- a/cranecleat/bookkeeping/users.py
+++ b/cranecleat/bookkeeping/users.py
@@ -1,16 +1,14 @@
-"""Who is bound to which table, and who still waits for one; in the order in which they joined."""
+"""Which proxies are bound to which table, and which still wait for a table, in the order in which they joined."""
 
 
 class Users:
-    """`tables_each`: a proxy that is bound to fewer tables waits."""
+    """Proxies by table. A proxy that is bound to fewer than `tables_per_proxy` tables waits."""
 
     def __init__(self, tables_per_proxy):
         self.tables_per_proxy = tables_per_proxy
-        self.proxies_by_table, self.waiting, self.unbound = (
-            {},
-            {},
-            set(),
-        )  # table -> {p: proxy}; p -> proxy; not bound at all
+        self.proxies_by_table = {}  # table -> {p: proxy}
+        self.waiting = {}  # p -> proxy
+        self.unbound = set()  # proxies that are bound to no table at all
 
     def join(self, p, proxy):
         self.waiting[p] = proxy
@@ -23,6 +21,7 @@
             self.proxies_by_table[table].pop(p, None)
 
     def bind(self, p, proxy, table):
+        """Records that a proxy is bound to a table; with its last one it no longer waits."""
         proxy.bound_tables.add(table)
         self.proxies_by_table.setdefault(table, {})[p] = proxy
         self.unbound.discard(p)
