--- a/cranecleat/memory/__init__.py
+++ b/cranecleat/memory/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept in memory: buffers, who is joined, and what each stream was told."""
+"""State kept in memory: receive buffers, the joined proxies, and what each stream was sent."""
--- a/cranecleat/memory/pool.py
+++ b/cranecleat/memory/pool.py
@@ -1,4 +1,4 @@
-"""Buffers of one size, used again, and what a connection has read by half."""
+"""A pool of reusable buffers of one size, and the received bytes of a connection that are not processed yet."""
 
 
 class PoolExhaustedError(Exception):
@@ -6,53 +6,57 @@
 
 
 class BufferPool:
+    """Hands out buffers of `size` bytes, at most `max_buffers` at a time."""
+
     def __init__(self, size, max_buffers):
-        self.size, self.max_buffers = size, max_buffers  # bytes of a buffer; buffers that may be out at once
+        self.size, self.max_buffers = size, max_buffers
         self.free, self.in_use = [], 0
 
-    def take(self):
+    def acquire(self):
+        """Returns a free buffer, or a new one; raises PoolExhaustedError if all are in use."""
         if self.in_use >= self.max_buffers:
             raise PoolExhaustedError
         self.in_use += 1
         return self.free.pop() if self.free else bytearray(self.size)
 
-    def give(self, buffers):
+    def release(self, buffers):
         self.in_use -= len(buffers)
         self.free.extend(buffers)
 
 
 class ReceiveBuffer:
-    """The unread bytes of one connection, in buffers of the pool: none where nothing is unread."""
+    """The unprocessed bytes of one connection, in buffers of the pool; it holds no buffer while there are none."""
 
     def __init__(self, pool):
         self.pool, self.buffers, self.filled = pool, [], 0
 
     def writable(self):
-        """Where the next bytes go."""
+        """The memory that the next bytes are read into."""
         offset = self.filled - self.pool.size * (len(self.buffers) - 1)
         if not self.buffers or offset == self.pool.size:
-            self.buffers.append(self.pool.take())
+            self.buffers.append(self.pool.acquire())
             offset = 0
         return memoryview(self.buffers[-1])[offset:]
 
     def last_received(self, count):
-        """The last `count` bytes: one read never spans two buffers."""
+        """The last `count` bytes, of one read. A read never spans two buffers."""
         end = self.filled - self.pool.size * (len(self.buffers) - 1)
         return bytes(memoryview(self.buffers[-1])[end - count : end])
 
-    def peek(self, most):
-        return bytes(memoryview(self.buffers[0])[: min(most, self.filled)]) if self.buffers else b""
+    def peek(self, max_bytes):
+        """The first bytes, without using them up."""
+        return bytes(memoryview(self.buffers[0])[: min(max_bytes, self.filled)]) if self.buffers else b""
 
     def unread(self):
         return self.last_received(self.filled) if len(self.buffers) == 1 else b"".join(self.buffers)[: self.filled]
 
     def retain(self, rest):
-        """What is left of the unread bytes after some were used: never more than before."""
+        """Keeps only `rest`, the end of the unread bytes, and releases the buffers that are no longer needed."""
         size = self.pool.size
         for number, start in enumerate(range(0, len(rest), size)):
             piece = rest[start : start + size]
             self.buffers[number][: len(piece)] = piece
         needed = -(-len(rest) // size)
-        self.pool.give(self.buffers[needed:])
+        self.pool.release(self.buffers[needed:])
         del self.buffers[needed:]
         self.filled = len(rest)
--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -1,6 +1,7 @@
-"""A small stage for the planner: what it is told, and a readable trace of what it writes.
+"""Harnesses for the planner, for the messages of streams and for a coordinator's process.
 
-To accept a new trace after reading it, run pytest with ACCEPT_TRACES=1 and look at the diff in git.
+The harnesses record readable traces, which tests compare with files under tests/traces. To accept a new trace after
+reading it, run pytest with ACCEPT_TRACES=1 and look at the diff in git.
 """
 
 import json
@@ -20,7 +21,7 @@
 from cranecleat.memory.streams import Streams
 from cranecleat.policy import Planner
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # microseconds
 ROUTES = (Route(3.0, SECOND, False, None, None), Route(1.0, SECOND, False, None, None))
 BOOTSTRAP = Bootstrap(
     routes=ROUTES,
@@ -40,7 +41,7 @@
     cold_start_capacity=0.2,
 )
 
-# A start message as the bench and the configuration spell it.
+# Settings as the simulator's start message and the configuration spell them.
 SETTINGS = {
     "groupSize": 1,
     "round": 0.002,
@@ -64,37 +65,39 @@
 
 
 class PlannerHarness:
-    """Plays rounds and keeps the trace; `verbs` limits it to some kinds of decision."""
+    """Runs rounds of a planner as its writer and records the decisions, or only those named by `decisions`."""
 
     def __init__(self, decisions=None, seed=7, acknowledge=True, **figures):
         self.planner = Planner(replace(BOOTSTRAP, **figures), seed)
         self.decisions, self.acknowledge, self.trace, self.now = decisions, acknowledge, [], 100 * SECOND
         self.ack_numbers = []
 
-    def __getattr__(self, verb):
+    def __getattr__(self, decision):
+        """Any method of `Writer`: records a decision of that name."""
+
         def write(*values):
-            if verb == "request_ack":
+            if decision == "request_ack":
                 self.ack_numbers.append(values[0])
-            if self.decisions is None or verb in self.decisions:
+            if self.decisions is None or decision in self.decisions:
                 shown = (f"{v:.3g}" if isinstance(v, float) else str(v) for v in values)
-                self.trace.append(f"{(self.now - 100 * SECOND) / SECOND:6.2f}  {verb} {' '.join(shown)}")
+                self.trace.append(f"{(self.now - 100 * SECOND) / SECOND:6.2f}  {decision} {' '.join(shown)}")
 
         return write
 
     def comment(self, text):
         self.trace.append(f"        # {text}")
 
-    def play_round(self, *calls, after=0.0):
-        """One round, `after` seconds later; orders are acknowledged in the next one."""
+    def play_round(self, *events, after=0.0):
+        """Runs a round `after` seconds later; all proxies acknowledge its messages in the next one."""
         self.now += round(after * SECOND)
         acks = []
         if self.acknowledge:
-            acks = [("acknowledged", p, mark) for mark in self.ack_numbers for p in list(self.planner.proxies)]
+            acks = [("acknowledged", p, number) for number in self.ack_numbers for p in list(self.planner.proxies)]
             self.ack_numbers.clear()
-        self.planner.round(self.now, [*acks, *calls], self)
+        self.planner.round(self.now, [*acks, *events], self)
 
     def list_backends(self, *entries, scope="whole", after=0.0):
-        """Entries are (backend, state, seconds since its start or None), one machine kind, zone 0."""
+        """Entries are (backend, state, seconds since its start or None), all of one machine kind and in zone 0."""
         self.play_round(
             (
                 "backends_listed",
@@ -111,19 +114,19 @@
         self.play_round(*(("proxy_joined", p, 0, typical, True) for p in proxies), after=after)
 
     def play_second(self, backends, calls=40, answer_time=0.1, unanswered=0, load=None, demand=(10, 10)):
-        """A second goes by: each backend met its share of `calls`; each proxy met `came` by route."""
+        """Reports a second in which the backends share `calls` evenly and each proxy has `demand`, calls by route."""
         each = calls // max(len(backends), 1)
-        met = [
+        attempts = [
             ("attempts_reported", b, 0, each, min(unanswered, each), round(answer_time * SECOND), SECOND, load)
             for b in backends
         ]
-        usage = [("demand_reported", p, r, n, SECOND) for p in self.planner.proxies for r, n in enumerate(demand)]
-        self.play_round(*met, *usage, after=1.0)
+        demands = [("demand_reported", p, r, n, SECOND) for p in self.planner.proxies for r, n in enumerate(demand)]
+        self.play_round(*attempts, *demands, after=1.0)
 
 
-def assert_matches_trace(name, scene_or_lines):
-    """Compares with the trace kept under tests/traces."""
-    lines = getattr(scene_or_lines, "trace", scene_or_lines)
+def assert_matches_trace(name, harness_or_lines):
+    """Compares a trace with the file of that name under tests/traces; writes the file with ACCEPT_TRACES."""
+    lines = getattr(harness_or_lines, "trace", harness_or_lines)
     text, path = "\n".join(lines) + "\n", Path(__file__).parent / "traces" / f"{name}.txt"
     if os.environ.get("ACCEPT_TRACES"):
         path.write_text(text)
@@ -131,7 +134,7 @@
 
 
 class StreamsHarness:
-    """The planner's orders as the messages of each stream: a trace, or the state that a proxy draws from them."""
+    """Encodes the planner's decisions as messages of streams, and records these messages as a trace."""
 
     def __init__(self, backends=4, routes=("read", "find")):
         self.names, self.trace = IndexMap(), []
@@ -142,45 +145,50 @@
     def comment(self, text):
         self.trace.append(f"# {text}")
 
-    def join(self, proxy, standing=True):
-        _, brought = self.streams.join(proxy, object(), 20.0, standing)
-        self.comment(f"proxy {proxy} joins{'' if standing else ' with ordered tables'}")
-        return brought
+    def join(self, proxy, uses_initial_table=True):
+        """Joins a proxy; returns how many withdrawals it may hold from an earlier stream."""
+        _, inherited = self.streams.join(proxy, object(), 20.0, uses_initial_table)
+        self.comment(f"proxy {proxy} joins{'' if uses_initial_table else ' with ordered tables'}")
+        return inherited
 
     def flush(self):
-        """The round's messages by proxy; they go into the trace as well."""
-        numbers = {id(s.connection): p for p, s in self.streams.joined.items()}
-        sent = [(numbers[id(c)], m.decode()) for c, m in self.streams.messages()]
+        """The round's messages by proxy; they are appended to the trace as well."""
+        proxies = {id(s.connection): p for p, s in self.streams.joined.items()}
+        sent = [(proxies[id(c)], m.decode()) for c, m in self.streams.messages()]
         for proxy, message in sent:
             self.trace += [f"{proxy} <- {line}" for line in message.removesuffix("\r\n").split("\r\n")]
         return dict(sent)
 
 
-def message_cost(message, head):
-    """What a message takes in the channel, by PROTOCOL: its head, and a line for each line, backend shut out or
-    let back, level, mark and replacement."""
+def message_cost(message, overhead):
+    """The lines that a message takes in the channel, by PROTOCOL.
+
+    These are the overhead, and one line for each weight, backend withdrawn or reinstated, level, request for an
+    acknowledgement and replaced table.
+    """
     words = [word.partition("=") for line in message.split("\r\n") for word in line.split(" ")]
     lists = sum(len(value.split(",")) for name, _, value in words if name in ("rows", "drop", "undrop"))
-    return head + lists + sum(name in ("gate", "stamp", "replace") for name, _, _ in words)
+    return overhead + lists + sum(name in ("gate", "stamp", "replace") for name, _, _ in words)
 
 
 def http_chunk(entry):
+    """A line of the discovery list as one chunk of an HTTP answer."""
     body = json.dumps(entry).encode() + b"\n"
     return b"%x\r\n%s\r\n" % (len(body), body)
 
 
 class CoordinatorProcess:
-    """A coordinator's process with this test as its discovery, its proxies and its collectors."""
+    """A coordinator's process; the test acts as its discovery, its proxies and its collectors."""
 
-    WAIT = 20  # seconds for any event: far more than one takes, so that only what never comes fails
+    WAIT_SECONDS = 20  # for any event; far more than one takes, so that only an event that never comes fails
 
     def __init__(self, folder, **changes):
         self.registry = socket.create_server(("127.0.0.1", 0))
-        self.registry.settimeout(self.WAIT)
+        self.registry.settimeout(self.WAIT_SECONDS)
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.address = free.getsockname()
         self.path, self.process, self.sockets = folder / "config.json", None, []
-        self.started = []
+        self.processes = []
         self.configuration = {
             "name": "n0",
             "listen": "{}:{}".format(*self.address),
@@ -193,6 +201,7 @@
         }
 
     def list_backends(self, rev, full=True, **states):
+        """A discovery list with a backend for each keyword, `s_1` for `s-1`, in the given state."""
         return {
             "rev": rev,
             "all": full,
@@ -212,7 +221,7 @@
         }
 
     def start(self, before="", **more):
-        """`before` runs in the new process ahead of the program."""
+        """Starts the process. `before` is code that runs in it ahead of the program."""
         self.path.write_text(
             self.configuration if isinstance(self.configuration, str) else json.dumps(self.configuration)
         )
@@ -226,29 +235,29 @@
             env={**os.environ, "BALANCER_CONFIG": str(self.path), "PYTHONDONTWRITEBYTECODE": "1"},
             **more,
         )
-        self.started.append(self.process)
+        self.processes.append(self.process)
         return self
 
     def __enter__(self):
         return self
 
     def __exit__(self, *_):
-        for process in self.started:
+        for process in self.processes:
             process.kill()
             process.wait()
             for pipe in filter(None, (process.stdout, process.stderr)):
                 pipe.close()
-        for opened in (*self.sockets, self.registry):
-            opened.close()
+        for one in (*self.sockets, self.registry):
+            one.close()
 
     def wait_for_exit(self):
-        """Exit code, and what it wrote to standard error."""
-        _, errors = self.process.communicate(timeout=self.WAIT)
+        """The exit code, and what the process wrote to standard error."""
+        _, errors = self.process.communicate(timeout=self.WAIT_SECONDS)
         return self.process.returncode, errors.decode()
 
     def wait_for_log(self, pattern):
-        """The next log line that matches, without what differs from run to run."""
-        deadline = time.monotonic() + self.WAIT  # other lines may come for ever
+        """The next log line that matches, without the fields that differ from run to run."""
+        deadline = time.monotonic() + self.WAIT_SECONDS  # other lines may keep coming without end
         with selectors.DefaultSelector() as ready:
             ready.register(self.process.stdout, selectors.EVENT_READ)
             while ready.select(max(deadline - time.monotonic(), 0)):
@@ -259,41 +268,45 @@
         raise AssertionError(f"no log line {pattern!r}")
 
     def accept_watch(self, *entries):
-        """Takes the coordinator's next watch, answers with these entries; returns it and what was asked for."""
-        taken, _ = self.registry.accept()
-        self.sockets.append(taken)
-        asked = self.read_until(taken, rb"\r\n\r\n").split("\r\n")[0]
-        taken.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"".join(map(http_chunk, entries)))
-        return taken, asked
+        """Accepts the coordinator's next watch and answers with these entries.
+
+        Returns the connection and the first line of the request.
+        """
+        watch, _ = self.registry.accept()
+        self.sockets.append(watch)
+        request_line = self.read_until(watch, rb"\r\n\r\n").split("\r\n")[0]
+        watch.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"".join(map(http_chunk, entries)))
+        return watch, request_line
 
     @staticmethod
     def format_address(listening):
         return "{}:{}".format(*listening.getsockname())
 
     def reload(self, text=None, **changes):
-        """A new configuration, and the signal to read it."""
+        """Writes a new configuration and sends the signal to read it."""
         self.configuration.update(changes)
         self.path.write_text(text or json.dumps(self.configuration))
         self.process.send_signal(signal.SIGHUP)
 
     def connect(self, *messages):
-        deadline = time.monotonic() + self.WAIT
-        while True:  # it listens soon after its start
+        """Connects to the coordinator and sends these messages."""
+        deadline = time.monotonic() + self.WAIT_SECONDS
+        while True:  # the coordinator listens soon after its start
             try:
-                dialled = socket.create_connection(self.address, timeout=self.WAIT)
+                connection = socket.create_connection(self.address, timeout=self.WAIT_SECONDS)
                 break
             except ConnectionRefusedError:
                 assert time.monotonic() < deadline and self.process.poll() is None, "it does not listen"
-        self.sockets.append(dialled)
-        dialled.sendall("".join(message + "\r\n" for message in messages).encode())
-        return dialled
+        self.sockets.append(connection)
+        connection.sendall("".join(message + "\r\n" for message in messages).encode())
+        return connection
 
-    def read_until(self, dialled, pattern):
-        """All that comes up to the pattern; with None, up to the end."""
+    def read_until(self, connection, pattern):
+        """Everything that is received until the pattern matches, or until the end with None."""
         got = b""
         while pattern is None or not re.search(pattern, got):
             try:
-                piece = dialled.recv(65536)
+                piece = connection.recv(65536)
             except ConnectionResetError:
                 piece = b""
             if not piece:
@@ -303,5 +316,5 @@
         return got.decode()
 
     def responds(self):
-        """Whether it answers on a new connection."""
+        """Whether the coordinator answers on a new connection."""
         return self.read_until(self.connect("hb"), rb"hb_ok\r\n") == "hb_ok\r\n"
