--- a/cranecleat/decoding.py
+++ b/cranecleat/decoding.py
@@ -1,35 +1,39 @@
-"""Decoding that every transport shares: units into microseconds, ids into small indices, the settings into a
-`Bootstrap`. Nothing here decides anything."""
+"""Decoding that every transport shares: units into microseconds, ids into small indices, settings into a `Bootstrap`.
+
+Nothing here makes a decision.
+"""
 
 from cranecleat.interface import Bootstrap, Route
 
-US_PER_SECOND, US_PER_MS = 1_000_000, 1_000  # microseconds in a second, in a millisecond
+US_PER_SECOND = 1_000_000
+US_PER_MS = 1_000
 ADMISSIONS = ("fraction", "per_second", "silent")
 
 
 class MalformedError(ValueError):
-    """Something that a front was given and cannot read; the text says what."""
+    """Input from outside the process that cannot be read; the text says what is wrong."""
 
 
 def to_microseconds(seconds):
     return round(seconds * US_PER_SECOND)
 
 
-def indices(names, all_names):
-    """A restriction to named zones or kinds, given as names or indices, as a set of indices."""
+def to_indices(names, all_names):
+    """A restriction to zones or kinds, given as names or indices, as a set of indices; None for no restriction."""
     if not names:
         return None
     return frozenset(all_names.index(n) if isinstance(n, str) else int(n) for n in names)
 
 
-def choice(table, value, what):
-    if value not in table:
+def lookup(allowed, value, what):
+    """Checks that `value` is allowed; returns what a dictionary maps it to, or else the value itself."""
+    if value not in allowed:
         raise MalformedError(f"unknown {what} {value!r}")
-    return table[value] if isinstance(table, dict) else value
+    return allowed[value] if isinstance(allowed, dict) else value
 
 
 def decode_bootstrap(info):
-    """Decodes the settings of a start message; a missing figure is named in the error."""
+    """Decodes the settings of a start message. The error for a missing setting names it."""
     try:
         special, rules = info["specifics"], info["rules"]
         zones, kinds = info["localities"], info.get("skus", [])
@@ -39,8 +43,8 @@
                 importance=float(c["credit"]),
                 slo=to_microseconds(c["goalTime"]),
                 own_zone=bool(own_zone[i]) if i < len(own_zone) else False,
-                kinds=indices(c.get("onlyKinds"), kinds),
-                zones=indices(c.get("onlyZones"), zones),
+                kinds=to_indices(c.get("onlyKinds"), kinds),
+                zones=to_indices(c.get("onlyZones"), zones),
             )
             for i, c in enumerate(info["requestClasses"])
         )
@@ -50,7 +54,7 @@
             coordinators=int(info.get("groupSize", 1)),
             must_watch=info["membershipMode"] == "ask",
             watch_timeout=to_microseconds(rules.get("askWithin", 10)),
-            admission=choice(ADMISSIONS, special["admission"], "admission"),
+            admission=lookup(ADMISSIONS, special["admission"], "admission"),
             cycle=to_microseconds(special["cycle"]),
             backlog=int(special["backlog"]),
             channel_lines_per_second=float(special["egressPerS"]),
@@ -73,12 +77,15 @@
 
 
 class IndexMap:
-    """Backend ids and small indices, for one instance. An index is used again once its backend is forgotten."""
+    """Maps backend ids to small indices and back, for one planner. The index of a forgotten backend is used again."""
 
     def __init__(self):
-        self.ids, self.index, self.free = [], {}, []
+        self.ids = []  # index -> backend id, or None for a free index
+        self.index = {}  # backend id -> index
+        self.free = []  # indices that belong to no backend
 
     def __call__(self, name):
+        """The index of a backend; a name that is not known yet gets one."""
         if name not in self.index:
             if not self.free:
                 self.free.append(len(self.ids))
@@ -88,6 +95,7 @@
         return self.index[name]
 
     def forget(self, index):
+        """Frees the index of a backend."""
         del self.index[self.ids[index]]
         self.ids[index] = None
         self.free.append(index)
--- a/cranecleat/wirehost/__init__.py
+++ b/cranecleat/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter: JSON lines on standard input and output, one planner an instance."""
+"""The adapter for the simulator: JSON lines on standard input and output, with one planner for each instance."""
--- a/cranecleat/wirehost/codec.py
+++ b/cranecleat/wirehost/codec.py
@@ -1,21 +1,24 @@
-"""The bench's words: events into calls of the planner, decisions into actions."""
+"""The simulator's messages: decodes its events into events of the planner, and encodes decisions as actions."""
 
-from cranecleat.decoding import US_PER_SECOND, choice, to_microseconds
+from cranecleat.decoding import US_PER_SECOND, lookup, to_microseconds
 
-ALL = 65535  # the table number that stands for all tables of all joined proxies
+ALL_TABLES = 65535  # the table number that stands for all tables of all joined proxies
 SCOPES = {"patch": "changes", "whole": "whole", "stale_copy": "held", "broken": "failed"}
 STATES = {"Running": "running", "Stopping": "draining", "Deleted": "gone"}
 
 
 def decode(event, names):
-    """An event as a call of the planner (a verb and its values), or None for an unknown kind."""
+    """An event as one of the planner (its name and values).
+
+    Returns None for an unknown kind of event, and for a report about a backend that is not listed.
+    """
     kind = event["kind"]
     if kind == "tally":
         load = event.get("telemetry") or {}
         busy, served = load.get("utilization"), load.get("throughput")
-        known = isinstance(busy, int | float) and isinstance(served, int | float)
+        has_load = isinstance(busy, int | float) and isinstance(served, int | float)
         if event["backend"] not in names.index:
-            return None  # forgotten, or never listed
+            return None  # it was forgotten or never listed
         return (
             "attempts_reported",
             names(event["backend"]),
@@ -24,7 +27,7 @@
             int(event.get("unanswered", 0)),
             to_microseconds(event.get("costTime", 0)),
             to_microseconds(event.get("covers", 0)),
-            (float(busy), float(served)) if known else None,
+            (float(busy), float(served)) if has_load else None,
         )
     if kind == "offeredLoad":
         return (
@@ -52,7 +55,7 @@
         entries = [
             (
                 names(r["backend"]),
-                choice(STATES, r.get("state", "Running"), "state"),
+                lookup(STATES, r.get("state", "Running"), "state"),
                 int(r.get("failureDomain", 0)),
                 int(r.get("type", 0)),
                 float(r.get("share", 1)),
@@ -60,7 +63,7 @@
             )
             for r in event.get("records") or []
         ]
-        return ("backends_listed", choice(SCOPES, event.get("scope", "patch"), "scope"), entries)
+        return ("backends_listed", lookup(SCOPES, event.get("scope", "patch"), "scope"), entries)
     if kind == "leased":
         return ("slice_given", int(event["routeTable"]), bool(event.get("set", False)))
     if kind == "recorded":
@@ -85,59 +88,64 @@
     return None
 
 
-class Actions:
-    """The writer of one instance: decisions become the actions of a reply."""
+class ActionWriter:
+    """The planner's `Writer` for one instance: appends each decision to the actions of a reply."""
 
-    def __init__(self, instance, names, out):
-        self.instance, self.names, self.out = instance, names, out
+    def __init__(self, instance, names, actions):
+        self.instance, self.names, self.actions = instance, names, actions
 
-    def put(self, kind, **fields):
-        self.out.append({"kind": kind, "coordinator": self.instance, **fields})
+    def append(self, kind, **fields):
+        self.actions.append({"kind": kind, "coordinator": self.instance, **fields})
 
     @staticmethod
-    def bits(routes):
+    def route_bits(routes):
+        """Routes as a bit mask."""
         return sum(1 << r for r in routes)
 
     def set_weight(self, table, backend, weight):
-        self.put("setWeight", routeTable=table, backend=self.names.ids[backend], share=weight)
+        self.append("setWeight", routeTable=table, backend=self.names.ids[backend], share=weight)
 
     def clear(self, table):
-        self.put("empty", routeTable=table)
+        self.append("empty", routeTable=table)
 
     def bind(self, proxy, table, routes, is_subset=False):
-        self.put("subscribeTo", sidecar=proxy, routeTable=table, classes=self.bits(routes))
+        self.append("subscribeTo", sidecar=proxy, routeTable=table, classes=self.route_bits(routes))
 
-    def withdraw(self, backend, out):
-        self.put("bench", backend=self.names.ids[backend], set=out)
+    def withdraw(self, backend, withdrawn):
+        self.append("bench", backend=self.names.ids[backend], set=withdrawn)
 
     def set_admission(self, table, routes, level, tries):
-        self.put(
-            "ration", routeTable=ALL if table is None else table, classes=self.bits(routes), quota=level, how=tries
+        self.append(
+            "ration",
+            routeTable=ALL_TABLES if table is None else table,
+            classes=self.route_bits(routes),
+            quota=level,
+            how=tries,
         )
 
     def forget(self, backend):
         self.names.forget(backend)
 
-    def request_ack(self, number):
-        self.put("seal", number=number, set=False)
+    def request_ack(self, ack_number):
+        self.append("seal", number=ack_number, set=False)
 
     def watch(self):
-        self.put("listen", set=True)
+        self.append("listen", set=True)
 
     def fetch(self):
-        self.put("readList")
+        self.append("readList")
 
     def probe(self, backend):
-        self.put("healthCheck", backend=self.names.ids[backend])
+        self.append("healthCheck", backend=self.names.ids[backend])
 
-    def tell(self, peer, text):
-        self.put("memoTo", to=peer, content=text)
+    def send_to_peer(self, peer, text):
+        self.append("memoTo", to=peer, content=text)
 
-    def set_timer(self, at, number):
-        self.put("sleep", time=at / US_PER_SECOND, mark=number)
+    def set_timer(self, at, timer):
+        self.append("sleep", time=at / US_PER_SECOND, mark=timer)
 
     def log(self, text):
-        self.put("trace", reasonText=text)
+        self.append("trace", reasonText=text)
 
     def fault(self, text):
-        self.put("fault", reasonText=text)
+        self.append("fault", reasonText=text)
--- a/cranecleat/wirehost/host.py
+++ b/cranecleat/wirehost/host.py
@@ -1,23 +1,23 @@
-"""Reads batches, calls the planner of each instance concerned once, and writes the replies."""
+"""Reads batches, runs one round of each instance that a batch names, and writes the replies."""
 
 import json
 from math import isfinite
 
 from cranecleat.decoding import IndexMap, MalformedError, decode_bootstrap, to_microseconds
 from cranecleat.policy import Planner
-from cranecleat.wirehost.codec import Actions, decode
+from cranecleat.wirehost.codec import ActionWriter, decode
 
 
 class Instance:
-    """One planner with its names. A start message that cannot be used leaves it without a planner."""
+    """One planner with its backend ids and its writer. An invalid start message raises an error instead."""
 
     def __init__(self, spawn, instance):
         self.names = IndexMap()
-        self.writer = Actions(instance, self.names, [])
+        self.writer = ActionWriter(instance, self.names, [])
         self.planner = Planner(decode_bootstrap(spawn.get("info") or {}), int(spawn.get("salt", 0)))
 
 
-def by_instance(inbox):
+def group_by_instance(inbox):
     """The events of a batch by instance, in the order in which the instances appear."""
     groups = {}
     for event in inbox:
@@ -29,37 +29,37 @@
     return groups
 
 
-def play(instances, name, events, now, out):
-    """Hands the events of one instance to its planner; a failure becomes a fault of that instance alone."""
-    faults = Actions(name, None, out)
+def run_round(instances, name, events, now, actions):
+    """Passes the events of one instance to its planner; a failure becomes a fault of that instance alone."""
+    faults = ActionWriter(name, None, actions)
     try:
-        calls = []
+        decoded_events = []
         for event in events:
             if event["kind"] == "spawn":
                 instances.pop(name, None)
-                calls.clear()
+                decoded_events.clear()
                 instances[name] = Instance(event, name)
             elif event["kind"] == "killed":
                 instances.pop(name, None)
-                calls.clear()
+                decoded_events.clear()
             elif name in instances:
-                call = decode(event, instances[name].names)
-                if call:
-                    calls.append(call)
+                decoded = decode(event, instances[name].names)
+                if decoded:
+                    decoded_events.append(decoded)
         if name in instances:
             instance = instances[name]
-            instance.writer.out = out
-            instance.planner.round(now, calls, instance.writer)
+            instance.writer.actions = actions
+            instance.planner.round(now, decoded_events, instance.writer)
     except MalformedError as wrong:
         faults.fault(str(wrong))
     except KeyError as missing:
         faults.fault(f"missing key {missing.args[0]!r}")
-    except Exception as failure:  # the instance has failed; the front is told why in plain words
+    except Exception as failure:  # the instance has failed, and the simulator gets the reason
         faults.fault(f"{type(failure).__name__}: {failure}")
 
 
 def read_batch(line):
-    """One line as clock and events."""
+    """Decodes one line as the time and the events of each instance."""
     try:
         batch = json.loads(line)
     except (ValueError, RecursionError) as wrong:
@@ -71,11 +71,11 @@
         raise MalformedError("'wall' must be a number")
     if not isinstance(inbox, list):
         raise MalformedError("'inbox' must be an array")
-    return to_microseconds(clock), by_instance(inbox)
+    return to_microseconds(clock), group_by_instance(inbox)
 
 
 def serve(source, sink, errors):
-    """Answers batch after batch until input ends; returns the exit code."""
+    """Replies to one batch after another until the input ends; returns the exit code."""
     instances = {}
     for number, line in enumerate(source, 1):
         try:
@@ -83,9 +83,9 @@
         except MalformedError as wrong:
             print(f"cranecleat.wirehost: line {number}: {wrong}", file=errors)
             return 2
-        out = []
+        actions = []
         for name, events in groups.items():
-            play(instances, name, events, now, out)
-        sink.write(json.dumps({"out": out}, separators=(",", ":")).encode() + b"\n")
+            run_round(instances, name, events, now, actions)
+        sink.write(json.dumps({"out": actions}, separators=(",", ":")).encode() + b"\n")
         sink.flush()
     return 0
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""What is spoken on the wire: every cut of it, and what is no message at all."""
+"""Parsers of the wire: valid input split at every byte, and invalid input."""
 
 import json
 
@@ -48,51 +48,53 @@
 FIXED = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer:x\r\n\r\n" % (len(BODY) - 1) + BODY[:-1]
 
 
-def reader():
+def new_decoder():
     backends = IndexMap()
     backends("s-1")
-    read = lines.MessageDecoder(ZONES, {"read": 0, "find": 1}, 8, backends, 1_000_000, 5_000_000)
-    read.typical_rate = 20.0
-    return read
+    decoder = lines.MessageDecoder(ZONES, {"read": 0, "find": 1}, 8, backends, 1_000_000, 5_000_000)
+    decoder.typical_rate = 20.0
+    return decoder
 
 
-def understood(line):
-    words = lines.Message(*lines.parse_line(line))
-    return f"{words.kind} {getattr(reader(), words.kind)(words) if words.kind != 'hb' else ''}".strip()
+def decode(line):
+    """The kind of a message and what its decoder makes of it, as text."""
+    message = lines.Message(*lines.parse_line(line))
+    return f"{message.kind} {getattr(new_decoder(), message.kind)(message) if message.kind != 'hb' else ''}".strip()
 
 
-def through(pieces, take, pool):
-    """Feeds pieces through half-read buffers as a connection does; returns what was made of them."""
-    half, made = ReceiveBuffer(pool), []
+def feed_pieces(pieces, feed, pool):
+    """Feeds pieces through a receive buffer as a connection does; returns the parsed items and the buffer."""
+    buffer, items = ReceiveBuffer(pool), []
     for piece in pieces:
         while piece:
-            room = half.writable()
-            fits = piece[: len(room)]
-            room[: len(fits)] = fits
-            half.filled += len(fits)
+            writable = buffer.writable()
+            fits = piece[: len(writable)]
+            writable[: len(fits)] = fits
+            buffer.filled += len(fits)
             piece = piece[len(fits) :]
-            data = half.unread()
-            found, used = take(data)
-            made += found
-            half.retain(data[used:])
-    return made, half
+            data = buffer.unread()
+            found, used = feed(data)
+            items += found
+            buffer.retain(data[used:])
+    return items, buffer
 
 
-def cuts(data):
+def splits(data):
+    """The data byte by byte, and cut in two at each position."""
     yield [data[i : i + 1] for i in range(len(data))]
     yield from ([data[:i], data[i:]] for i in range(len(data) + 1))
 
 
-def test_lines_are_the_same_under_every_cut():
+def test_lines_do_not_depend_on_how_the_data_is_split():
     pool = BufferPool(16, 40)
-    for pieces in cuts(LINES):
-        found, half = through(pieces, lines.split_lines, pool)
-        assert found == LINES.split(b"\r\n")[:-1] and half.buffers == [] and pool.in_use == 0
-    assert_matches_trace("lines", [understood(line) for line in found])
+    for pieces in splits(LINES):
+        found, buffer = feed_pieces(pieces, lines.split_lines, pool)
+        assert found == LINES.split(b"\r\n")[:-1] and buffer.buffers == [] and pool.in_use == 0
+    assert_matches_trace("lines", [decode(line) for line in found])
 
 
-def test_what_is_no_line_is_told_apart():
-    bad = [
+def test_invalid_lines_are_rejected_with_a_reason():
+    invalid = [
         b"",
         b" ",
         b"\xff\xfe",
@@ -121,8 +123,8 @@
         b"upstream_stats locality=a endpoint=s-9 total=x errors=0 rtt=1 interval=1",
         b"telemetry locality=",
         *(
-            b"upstream_stats locality=a endpoint=s-1 " + absurd
-            for absurd in (
+            b"upstream_stats locality=a endpoint=s-1 " + values
+            for values in (
                 b"total=2 errors=3 rtt=1 interval=1000",
                 b"total=2 errors=0 rtt=1 interval=0",
                 b"total=2 errors=0 rtt=1 interval=3600000",
@@ -134,14 +136,14 @@
         b"client_stats node=1 route=read total=90000 errors=0 interval=1000",
     ]
     text = []
-    for line in bad:
-        with pytest.raises(ProtocolError) as wrong:
-            understood(line)
-        text.append(f"{type(wrong.value).__name__:10} {wrong.value.reason.value:13} {wrong.value}")
+    for line in invalid:
+        with pytest.raises(ProtocolError) as error:
+            decode(line)
+        text.append(f"{type(error.value).__name__:10} {error.value.reason.value:13} {error.value}")
     assert_matches_trace("lines_malformed", text)
 
 
-def test_what_has_come_of_a_message_shows_whether_it_can_become_one():
+def test_the_start_of_a_message_shows_whether_it_can_become_valid():
     for start in (b"", b"u", b"upstream_stat", b"upstream_stats", b"hb", b"hb ", b"done nod"):
         lines.check_prefix(start)
     for start in (b"\x93", b"GET", b"hbx", b"upstream_statz", b" hb", b"done="):
@@ -149,20 +151,20 @@
             lines.check_prefix(start)
 
 
-def test_answers_are_the_same_under_every_cut():
+def test_responses_do_not_depend_on_how_the_data_is_split():
     pool = BufferPool(16, 40)
-    for stream, wanted in ((CHUNKED, [BODY[:-1], b"", b""]), (FIXED, [BODY[:-1]])):
-        for pieces in cuts(stream):
-            answer, body = http.ResponseParser(), registry.LineSplitter()
-            found, _ = through(pieces, answer.feed, pool)
-            assert answer.complete and pool.in_use == 0
-            assert [line for piece in found for line in body.feed(piece)] + body.flush() == wanted
+    for response, expected in ((CHUNKED, [BODY[:-1], b"", b""]), (FIXED, [BODY[:-1]])):
+        for pieces in splits(response):
+            parser, body = http.ResponseParser(), registry.LineSplitter()
+            found, _ = feed_pieces(pieces, parser.feed, pool)
+            assert parser.complete and pool.in_use == 0
+            assert [line for piece in found for line in body.feed(piece)] + body.flush() == expected
     assert_matches_trace("list", [str(registry.decode_list(json.loads(BODY), ZONES, KINDS))])
 
 
-def test_what_is_no_answer_is_told_apart():
+def test_invalid_responses_and_lists_are_rejected_with_a_reason():
     ok = b"HTTP/1.1 200 OK\r\n"
-    bad = [
+    invalid = [
         b"HTTP/2 200 OK\r\n\r\n",
         b"SSH-2.0\r\n\r\n",
         b"HTTP/1.1 503 Busy\r\n\r\n",
@@ -177,10 +179,10 @@
         ok + b"X: " + b"y" * MAX_HTTP_HEAD_BYTES,
     ]
     text = []
-    for stream in bad:
-        with pytest.raises(ProtocolError) as wrong:
-            http.ResponseParser().feed(stream)
-        text.append(f"{wrong.value.reason.value:13} {wrong.value}")
+    for response in invalid:
+        with pytest.raises(ProtocolError) as error:
+            http.ResponseParser().feed(response)
+        text.append(f"{error.value.reason.value:13} {error.value}")
     changes = (
         {"uid": None},
         {"uid": "a b"},
@@ -195,24 +197,24 @@
         {"az": []},
     )
     for change in changes:
-        whole = {"rev": 1, "all": True, "targets": [{**ENTRY, **change}, ENTRY]}
-        _, _, good, wrong = registry.decode_list(whole, ZONES, KINDS)
-        assert len(good) == 1
-        text.append(f"entry         {wrong}")
+        entries = {"rev": 1, "all": True, "targets": [{**ENTRY, **change}, ENTRY]}
+        _, _, valid, invalid_entries = registry.decode_list(entries, ZONES, KINDS)
+        assert len(valid) == 1
+        text.append(f"entry         {invalid_entries}")
     for entry in ([], None, {}, {"rev": True, "all": True, "targets": []}, {"rev": 1, "all": True, "targets": 5}):
-        with pytest.raises(ProtocolError) as wrong:
+        with pytest.raises(ProtocolError) as error:
             registry.decode_list(entry, ZONES, KINDS)
-        text.append(f"{wrong.value.reason.value:13} {wrong.value}")
+        text.append(f"{error.value.reason.value:13} {error.value}")
     assert_matches_trace("answers_malformed", text)
 
 
-def test_half_read_messages_are_capped_in_all():
+def test_unprocessed_bytes_of_all_connections_are_limited():
     pool = BufferPool(16, 3)
-    halves = [ReceiveBuffer(pool) for _ in range(3)]
-    for half in halves:
-        half.writable()
-        half.filled = 16
+    buffers = [ReceiveBuffer(pool) for _ in range(3)]
+    for buffer in buffers:
+        buffer.writable()
+        buffer.filled = 16
     with pytest.raises(PoolExhaustedError):
-        halves[0].writable()
-    halves[1].retain(b"")
-    assert len(halves[0].writable()) == 16 and pool.in_use == 3
+        buffers[0].writable()
+    buffers[1].retain(b"")
+    assert len(buffers[0].writable()) == 16 and pool.in_use == 3
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter for the bench's wire: batches in, decisions out."""
+"""The adapter for the simulator: batches in, decisions out."""
 
 import io
 import json
@@ -13,7 +13,8 @@
     return {"kind": kind, "coordinator": to, **fields}
 
 
-def play(*lines):
+def serve_lines(*lines):
+    """Serves lines, given as text or as (time, events); returns replies, error output and the exit code."""
     source = io.BytesIO(
         "".join(
             (line if isinstance(line, str) else json.dumps({"wall": line[0], "inbox": line[1]})) + "\n"
@@ -29,10 +30,10 @@
     return [event("spawn", to, salt=1, info=info), event("rosterChange", to, scope="stale_copy", records=[ENTRY])]
 
 
-def test_a_short_life_and_events_that_are_ignored():
+def test_an_instance_starts_and_ends_and_ignores_unknown_events():
     assert_matches_trace(
         "wire_life",
-        play(
+        serve_lines(
             (5.0, []),
             (5.0, start()),
             (
@@ -51,20 +52,20 @@
     )
 
 
-def test_instances_share_nothing_and_a_fault_is_one_instances_own():
-    lame = {**SETTINGS, "specifics": {"admission": "fraction", "cycle": 1.0}}
+def test_instances_share_nothing_and_a_fault_concerns_one_instance_only():
+    incomplete = {**SETTINGS, "specifics": {"admission": "fraction", "cycle": 1.0}}
     assert_matches_trace(
         "wire_faults",
-        play(
-            (5.0, start("coordinator/1", lame) + start("coordinator/2")),
+        serve_lines(
+            (5.0, start("coordinator/1", incomplete) + start("coordinator/2")),
             (5.5, [event("connected", "coordinator/2", sidecar=1, set=True)]),
         ),
     )
 
 
-def test_lines_that_are_no_batch():
-    lines = []
-    for bad in (
+def test_lines_that_are_not_a_batch():
+    errors = []
+    for invalid in (
         "{",
         "[]",
         '{"wall":true,"inbox":[]}',
@@ -74,5 +75,5 @@
         '{"wall":NaN,"inbox":[]}',
         "\u00e9\x00",
     ):
-        lines += play((1.0, []), bad)[1:]
-    assert_matches_trace("wire_malformed", lines)
+        errors += serve_lines((1.0, []), invalid)[1:]
+    assert_matches_trace("wire_malformed", errors)
