--- a/cranecleat/bookkeeping/known.py
+++ b/cranecleat/bookkeeping/known.py
@@ -1,11 +1,11 @@
-"""What is known of one backend and of one proxy: figures that events change, no decisions."""
+"""State and measurements of one backend and of one proxy, which events change. Nothing here makes a decision."""
 
 
 class Backend:
     """A backend as it is listed, its reports as decaying sums, and what its answers say about its health."""
 
     def __init__(self):
-        self.state, self.zone, self.kind, self.size, self.started = "gone", 0, 0, 1.0, 0
+        self.state, self.zone, self.kind, self.size, self.started = "gone", 0, 0, 1.0, 0  # as listed
         self.withdrawn = False
         self.due_since = 0  # when its withdrawal, or its return, became due
         self.last_present_at = 0  # when the list last had it in any state but gone
--- a/cranecleat/bookkeeping/layout.py
+++ b/cranecleat/bookkeeping/layout.py
@@ -1,4 +1,4 @@
-"""Which tables exist, and their numbers. This follows from the start-up figures and the number of subsets alone."""
+"""Which tables exist, and their numbers. This follows from the start-up settings and the number of subsets alone."""
 
 
 class Layout:
--- a/cranecleat/wirehost/codec.py
+++ b/cranecleat/wirehost/codec.py
@@ -3,6 +3,7 @@
 from cranecleat.decoding import US_PER_SECOND, lookup, to_microseconds
 
 ALL_TABLES = 65535  # the table number that stands for all tables of all joined proxies
+# Words of the wire -> words of the planner.
 SCOPES = {"patch": "changes", "whole": "whole", "stale_copy": "held", "broken": "failed"}
 STATES = {"Running": "running", "Stopping": "draining", "Deleted": "gone"}
 
--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -67,8 +67,8 @@
 class PlannerHarness:
     """Runs rounds of a planner as its writer and records the decisions, or only those named by `decisions`."""
 
-    def __init__(self, decisions=None, seed=7, acknowledge=True, **figures):
-        self.planner = Planner(replace(BOOTSTRAP, **figures), seed)
+    def __init__(self, decisions=None, seed=7, acknowledge=True, **settings):
+        self.planner = Planner(replace(BOOTSTRAP, **settings), seed)
         self.decisions, self.acknowledge, self.trace, self.now = decisions, acknowledge, [], 100 * SECOND
         self.ack_numbers = []
 
