--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known reds on a suite of its own: what is passed over, and what fails the run."""
+"""KNOWN-RED.txt with a test suite of its own: which failures are tolerated, and what fails the run."""
 
 import shutil
 import subprocess
@@ -12,7 +12,7 @@
 
 
 def run(folder, listed, *more):
-    """Exit code and what it printed; `listed` None: no file."""
+    """Runs the suite; returns its exit code and output. `listed`: the content of KNOWN-RED.txt, or None for no file."""
     (folder / "tests").mkdir()
     for name in ("conftest.py", "known_red.py"):
         shutil.copy(Path(__file__).with_name(name), folder / "tests" / name)
@@ -22,30 +22,30 @@
     )
     if listed is not None:
         (folder / "KNOWN-RED.txt").write_text(listed)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", "-p", "no:hypothesispytest", *more],
         cwd=folder,
         text=True,
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
     )
-    return done.returncode, done.stdout
+    return completed.returncode, completed.stdout
 
 
-def test_a_listed_test_that_fails_is_passed_over_and_printed(tmp_path):
+def test_a_listed_test_that_fails_is_tolerated_and_printed(tmp_path):
     code, text = run(tmp_path, LINE)
     assert code == 0 and f"KNOWN RED {RED}: a cause that is known (issue 29)" in text
     assert "2 passed, 1 xfailed" in text
 
 
 @pytest.mark.parametrize("listed", [None, ""])
-def test_without_a_list_a_test_that_fails_fails_the_run(tmp_path, listed):
+def test_without_a_list_a_failing_test_fails_the_run(tmp_path, listed):
     code, text = run(tmp_path, listed)
     assert code == 1 and "1 failed, 2 passed" in text and "KNOWN RED" not in text
 
 
 @pytest.mark.parametrize(
-    "listed, says",
+    "listed, message",
     [
         (LINE + f"{GREEN} | not true any more | 29\n", "[XPASS(strict)]"),
         (LINE + "tests/test_two.py::test_gone | it was | 29\n", "names no test: tests/test_two.py::test_gone"),
@@ -62,11 +62,11 @@
         ),
     ],
 )
-def test_a_list_that_is_not_as_it_should_be_fails_the_run(tmp_path, listed, says):
+def test_an_invalid_list_fails_the_run(tmp_path, listed, message):
     code, text = run(tmp_path, listed)
-    assert code not in (0, 5) and says in text
+    assert code not in (0, 5) and message in text
 
 
-def test_a_part_of_the_tests_can_be_run_alone(tmp_path):
+def test_a_selection_of_the_tests_can_be_run(tmp_path):
     code, text = run(tmp_path, LINE, "tests/test_two.py", "-k", "green")
     assert code == 0 and "1 passed" in text
