--- a/cranecleat/commands/__init__.py
+++ b/cranecleat/commands/__init__.py
@@ -1,4 +1,5 @@
-"""The command line `cranecleat`. Each command imports what it needs itself, so that none pays for another."""
+"""The command line `cranecleat`. Each command imports its modules when it runs, so that none loads those of
+another."""
 
 from cranecleat.commands.root import main
 
--- a/cranecleat/commands/files.py
+++ b/cranecleat/commands/files.py
@@ -5,7 +5,7 @@
 
 import typer
 
-from cranecleat.commands.tables import end, table
+from cranecleat.commands.tables import fail, table
 
 app = typer.Typer(no_args_is_help=True, help="The files transport: orders and reports through a folder.")
 
@@ -17,7 +17,7 @@
     try:
         return Disk(folder), scan_folder(Disk(folder))
     except OSError as failure:
-        end(f"{folder}: {failure.strerror}")
+        fail(f"{folder}: {failure.strerror}")
 
 
 @app.command()
--- a/cranecleat/commands/gossip.py
+++ b/cranecleat/commands/gossip.py
@@ -1,67 +1,73 @@
-"""`cranecleat gossip`: what a running coordinator believes of its peers, from the status file that it replaces."""
+"""`cranecleat gossip`: shows what a running coordinator knows of its peers, from the status file that it writes."""
 
 import json
 import time
 
 import typer
 
-from cranecleat.commands.tables import end, table
+from cranecleat.commands.tables import fail, table
 
-app = typer.Typer(no_args_is_help=True, help="What a running coordinator hears from its peers.")
-OLD = 5.0  # seconds: the file is replaced once a second
+app = typer.Typer(no_args_is_help=True, help="What a running coordinator receives from its peers.")
+OUTDATED_AFTER_SECONDS = 5.0  # the coordinator replaces the file once a second
 
 
 @app.callback()
 def every():
-    """What a running coordinator hears from its peers."""
+    """What a running coordinator receives from its peers."""
 
 
 @app.command()
 def status(
     file: str = typer.Argument(..., help="The file that `status` in the operator's file names."),
-    as_json: bool = typer.Option(False, "--json", help="The file as it stands."),
+    as_json: bool = typer.Option(False, "--json", help="The content of the file."),
 ):
-    """Prints members, claims of backends that do not answer, and what was refused and why.
+    """Prints the members, the claims about backends that do not answer, and how many messages were refused and why.
 
-    Exit code 1 if the file is older than five seconds: the coordinator does not run, or stands still.
+    Exit code 1 if the file is older than five seconds: the coordinator does not run or does not respond.
     """
     try:
         with open(file, encoding="utf-8") as opened:
-            told = json.load(opened)
+            content = json.load(opened)
     except OSError as failure:
-        end(f"{file}: {failure.strerror}; `status` in the operator's file names it")
+        fail(f"{file}: {failure.strerror}; `status` in the operator's file names it")
     except ValueError:
-        end(f"{file} is no status file")
-    old = time.time() - told["at"]
+        fail(f"{file} is no status file")
+    age = time.time() - content["at"]
     if as_json:
-        print(json.dumps(told, indent=1))
+        print(json.dumps(content, indent=1))
     else:
-        print("\n".join(report(told)))
-    if old > OLD:
-        print(f"as of {old:.0f} s ago: the coordinator does not run, or stands still")
+        print("\n".join(report_lines(content)))
+    if age > OUTDATED_AFTER_SECONDS:
+        print(f"as of {age:.0f} s ago: the coordinator does not run or does not respond")
         raise typer.Exit(1)
 
 
-def report(told):
-    """The lines of the report."""
-    lines = [f"{told['me']} of group {told['group']}, life {told['life']}, own health {told['health']} (0 is well)", ""]
+def report_lines(content):
+    """The status file as lines of text."""
+    lines = [
+        f"{content['me']} of group {content['group']}, life {content['life']}, "
+        f"own health {content['health']} (0 is well)",
+        "",
+    ]
     lines += table(
         ("member", "state", "for s", "life"),
-        [(name, one["state"], one["seconds"], one["life"]) for name, one in told["members"].items()],
+        [(name, member["state"], member["seconds"], member["life"]) for name, member in content["members"].items()],
     )
-    lines += ["", "claims of backends that do not answer (key: answers missing):"]
+    lines += ["", "claims about backends that do not answer (key: missing answers):"]
     lines += [
         f"  {name}: " + ", ".join(f"{key} {missing}" for key, missing in claims.items())
-        for name, claims in told["claims"].items()
+        for name, claims in content["claims"].items()
     ] or ["  none"]
     lines.append(
-        "counted here, the largest left out: "
-        + (", ".join(f"{key} {missing}" for key, missing in told["pooled"].items()) or "none")
+        "missing answers counted here (without the largest claims): "
+        + (", ".join(f"{key} {missing}" for key, missing in content["pooled"].items()) or "none")
     )
-    counts = told["counts"]
+    counts = content["counts"]
     lines.append(
         f"datagrams: {counts.get('sent', 0)} sent ({counts.get('sent_bytes', 0)} bytes), "
-        f"{counts.get('received', 0)} received, {counts.get('held_back', 0)} held back by the pace"
+        f"{counts.get('received', 0)} received, {counts.get('held_back', 0)} held back by the rate limit"
+    )
+    lines.append(
+        "refused: " + (", ".join(f"{reason} {count}" for reason, count in content["refused"].items()) or "none")
     )
-    lines.append("refused: " + (", ".join(f"{why} {n}" for why, n in told["refused"].items()) or "none"))
     return lines
--- a/cranecleat/commands/keys.py
+++ b/cranecleat/commands/keys.py
@@ -1,53 +1,54 @@
-"""`cranecleat keys`: a coordinator's key, made, shown, and held against a roster."""
+"""`cranecleat keys`: creates and shows a coordinator's key, and compares it with a roster."""
 
 import typer
 
-from cranecleat.commands.tables import end, table
+from cranecleat.commands.tables import fail, table
 
-app = typer.Typer(no_args_is_help=True, help="Keys with which coordinators sign what they tell each other.")
+app = typer.Typer(no_args_is_help=True, help="Keys with which coordinators sign their gossip messages.")
 
 
-def public_of(path):
+def public_key_of(path):
     from cranecleat.gossip.keys import KeyFileError, read_key_file
     from cranecleat.gossip.seal import Signer
 
     try:
         return Signer(read_key_file(path)).public
-    except KeyFileError as wrong:
-        end(wrong)
+    except KeyFileError as error:
+        fail(error)
 
 
 @app.command()
 def new(file: str = typer.Argument(..., help="Where the secret key goes; it must not exist yet.")):
-    """Makes a key: the secret into FILE (mode 600), the public one onto the screen, for every member's roster."""
-    from cranecleat.gossip.keys import KeyFileError
-    from cranecleat.gossip.keys import create_key_file as make
+    """Creates a key: writes the secret key to FILE (mode 600) and prints the public one, for every member's roster."""
+    from cranecleat.gossip.keys import KeyFileError, create_key_file
 
     try:
-        make(file)
-    except KeyFileError as wrong:
-        end(wrong)
+        create_key_file(file)
+    except KeyFileError as error:
+        fail(error)
     show(file)
 
 
 @app.command()
 def show(file: str = typer.Argument(..., help="A key file.")):
-    """Prints the public key of a key file, as `key=` or `next=` of a member takes it, and its fingerprint."""
+    """Prints the public key of a key file, as `key=` or `next=` of a member expects it, and its fingerprint."""
     from cranecleat.gossip.keys import encode, fingerprint
 
-    public = public_of(file)
-    print(f"{encode(public)}  {fingerprint(public)}")
+    public_key = public_key_of(file)
+    print(f"{encode(public_key)}  {fingerprint(public_key)}")
 
 
 @app.command()
 def roster(
     file: str = typer.Argument(..., help="The operator's file."),
-    key: str = typer.Option(None, help="A key file: marks whose it is."),
+    key: str = typer.Option(None, help="A key file; the member whose key it is gets marked."),
 ):
-    """Prints who may take part, where, and with which keys (fingerprints); `mine` marks the key of --key.
+    """Prints the members of the roster with their addresses and the fingerprints of their keys. `mine` marks the member
+    whose key --key names.
 
-    To change a key: `keys new`; put it as next="..." into every roster and send SIGHUP to each; let the member's own
-    `key` name the new file and send SIGHUP; then leave the old one out of every roster and send SIGHUP again.
+    To change a key, first create it with `keys new`, add it as next="..." to every roster and send each coordinator
+    SIGHUP. Then let the member's own `key` name the new file and send it SIGHUP. Last, remove the old key from every
+    roster and send SIGHUP again.
     """
     from cranecleat.gossip.keys import fingerprint
     from cranecleat.operator.document import DocumentError
@@ -55,17 +56,17 @@
 
     try:
         section = read_operator_file(file).gossip
-    except DocumentError as wrong:
-        end("\n".join(map(str, wrong.mistakes)))
+    except DocumentError as error:
+        fail("\n".join(map(str, error.mistakes)))
     if section is None:
-        end(f"{file} has no 'gossip' section")
-    mine = public_of(key) if key else None
+        fail(f"{file} has no 'gossip' section")
+    own_key = public_key_of(key) if key else None
     rows = [
         (
             member.name,
             "{}:{}".format(*member.address),
             " then ".join(map(fingerprint, member.keys)),
-            "mine" if mine in member.keys else "",
+            "mine" if own_key in member.keys else "",
         )
         for member in section.members
     ]
--- a/cranecleat/commands/root.py
+++ b/cranecleat/commands/root.py
@@ -1,4 +1,4 @@
-"""The commands and what they share: one way to end with a mistake, one way to print a table."""
+"""The root of the command line: the groups of commands, and the commands without a group."""
 
 import sys
 
@@ -11,7 +11,7 @@
     add_completion=False,
     rich_markup_mode=None,
     pretty_exceptions_enable=False,
-    help="A central planner that lays the tables of a layer of plain proxies.",
+    help="A central planner that computes the routing tables of a layer of plain proxies.",
 )
 app.add_typer(keys.app, name="keys")
 app.add_typer(gossip.app, name="gossip")
@@ -25,10 +25,10 @@
         None, help="The operator's file, such as deploy/operator.kdl.", envvar="CRANECLEAT_OPERATOR"
     ),
 ):
-    """Runs one coordinator in the foreground, as `python -m cranecleat` without words does.
+    """Runs one coordinator in the foreground, as `python -m cranecleat` without arguments does.
 
-    BALANCER_CONFIG names its configuration. SIGTERM ends it; SIGHUP reads the configuration and the operator's file
-    again. Exit codes: 0 stopped, 1 the planner failed, 2 it could not start.
+    BALANCER_CONFIG names its configuration. SIGTERM ends it. SIGHUP makes it read the configuration and the operator's
+    file again. Exit codes: 0 stopped, 1 the planner failed, 2 it could not start.
     """
     import os
 
@@ -42,20 +42,20 @@
 @app.command()
 def check(
     file: str = typer.Argument(..., help="The operator's file."),
-    name: str = typer.Option(None, help="The coordinator that it is for: whether it stands in the roster."),
+    name: str = typer.Option(None, help="The coordinator that uses the file; checks that the roster lists it."),
 ):
-    """Checks an operator's file: each mistake with its line and what would be right. Exit code 2 if there is one."""
+    """Checks an operator's file and prints each mistake with its line and a correction. Exit code 2 if there is any."""
     from cranecleat.operator.document import DocumentError
     from cranecleat.operator.file import read_operator_file
 
     try:
-        switched = read_operator_file(file, name)
-    except DocumentError as wrong:
-        for mistake in wrong.mistakes:
+        settings = read_operator_file(file, name)
+    except DocumentError as error:
+        for mistake in error.mistakes:
             print(mistake, file=sys.stderr)
         raise typer.Exit(2) from None
-    on = [section for section in ("gossip", "files") if getattr(switched, section)]
-    print(f"{file}: no mistake; switched on: {', '.join(on) or 'nothing'}")
+    enabled = [section for section in ("gossip", "files") if getattr(settings, section)]
+    print(f"{file}: no mistake; switched on: {', '.join(enabled) or 'nothing'}")
 
 
 def main():
