--- a/cranecleat/commands/files.py
+++ b/cranecleat/commands/files.py
@@ -1,4 +1,4 @@
-"""`cranecleat files`: look at a folder of the files transport, check it, and follow one proxy's orders."""
+"""`cranecleat files`: shows and checks a folder of the files transport, and follows one proxy's orders."""
 
 import json
 import time
@@ -10,7 +10,8 @@
 app = typer.Typer(no_args_is_help=True, help="The files transport: orders and reports through a folder.")
 
 
-def looked(folder):
+def open_folder(folder):
+    """The folder's disk and its scanned content. Ends the command if the folder cannot be read."""
     from cranecleat.files.disk import Disk
     from cranecleat.files.recover import scan_folder
 
@@ -22,47 +23,48 @@
 
 @app.command()
 def check(folder: str = typer.Argument(..., help="The folder that `folder` in the operator's file names.")):
-    """Reads every file of the folder and says what cannot be used. Exit code 1 if there is anything.
+    """Reads every file of the folder and prints what cannot be used. Exit code 1 if there is anything.
 
-    It may run while the coordinator does; a file that is replaced meanwhile is read as the old or the new one.
+    It may run beside the coordinator; of a file that is replaced meanwhile it reads either the old or the new version.
     """
-    _, found = looked(folder)
-    for path, wrong in found.wrong:
-        print(f"{path}: {wrong}")
-    for called in found.foreign:
-        print(f"{called}: none of ours; take it out of the folder")
+    _, found = open_folder(folder)
+    for path, error in found.errors:
+        print(f"{path}: {error}")
+    for name in found.foreign:
+        print(f"{name}: does not belong to the transport; remove it from the folder")
     print(
         f"{len(found.orders)} proxies, {len(found.bodies)} bodies, generation {found.generation}: "
-        f"{'something is wrong' if found.wrong or found.foreign else 'all can be used'}"
+        f"{'errors found' if found.errors or found.foreign else 'no errors'}"
     )
-    raise typer.Exit(1 if found.wrong or found.foreign else 0)
+    raise typer.Exit(1 if found.errors or found.foreign else 0)
 
 
 @app.command()
 def show(
     folder: str = typer.Argument(..., help="The folder."),
-    proxy: int = typer.Option(None, help="One proxy's routes, in full."),
-    as_json: bool = typer.Option(False, "--json", help="One JSON object."),
+    proxy: int = typer.Option(None, help="Show this proxy's routes only."),
+    as_json: bool = typer.Option(False, "--json", help="Print one JSON object."),
 ):
-    """Prints who writes the folder, the tables, each proxy's generation, and what it says that it has in force."""
+    """Prints the folder's writer, the tables, and for each proxy its generation and whether it has reported that in
+    force."""
     from cranecleat.files.disk import BODIES, OWNER, REPORTS, read_owner
     from cranecleat.files.format import UnusableFileError, read_body, read_report
 
-    disk, found = looked(folder)
+    disk, found = open_folder(folder)
     try:
         fence, life, writer = read_owner(disk.read(OWNER) or b"")
-    except UnusableFileError as wrong:
-        fence, life, writer = 0, 0, f"unknown ({wrong})"
+    except UnusableFileError as error:
+        fence, life, writer = 0, 0, f"unknown ({error})"
     reports = {}
-    for who in found.orders:
+    for number in found.orders:
         try:
-            reports[who] = read_report(disk.read(REPORTS, f"p{who}") or b"")
+            reports[number] = read_report(disk.read(REPORTS, f"p{number}") or b"")
         except (UnusableFileError, OSError):
             continue
     tables = found.tables
     bodies = (
         {
-            number: read_body(disk.read(BODIES, body), body).lines
+            number: read_body(disk.read(BODIES, body), body).entries
             for number, body in tables.bodies.items()
             if body in found.bodies
         }
@@ -70,9 +72,9 @@
         else {}
     )
     rows = []
-    for who, orders in sorted(found.orders.items()):
-        report = reports.get(who)
-        behind = (
+    for number, orders in sorted(found.orders.items()):
+        report = reports.get(number)
+        state = (
             "no report"
             if report is None
             else "in force"
@@ -81,12 +83,12 @@
         )
         rows.append(
             (
-                who,
+                number,
                 "yes" if orders.active else "no",
                 orders.header.generation,
                 orders.needs,
-                " ".join(f"{route}:{number}" for route, number in orders.bound.items()) or "-",
-                behind,
+                " ".join(f"{route}:{table_number}" for route, table_number in orders.bound.items()) or "-",
+                state,
             )
         )
     if as_json:
@@ -98,7 +100,7 @@
                     "life": life,
                     "generation": found.generation,
                     "tables": bodies,
-                    "out": sorted(tables.out) if tables else [],
+                    "out": sorted(tables.withdrawn) if tables else [],
                     "proxies": [
                         dict(zip(("proxy", "served", "generation", "needs", "bound", "state"), row, strict=True))
                         for row in rows
@@ -108,10 +110,10 @@
         )
         return
     print(f"written by {writer}, fence {fence}, life {life}; generation {found.generation}")
-    for number, lines in sorted(bodies.items()):
-        print(f"table {number}: " + ", ".join(f"{backend} {weight:g}" for backend, weight in lines))
+    for number, entries in sorted(bodies.items()):
+        print(f"table {number}: " + ", ".join(f"{backend} {weight:g}" for backend, weight in entries))
     if tables:
-        print("shut out: " + (", ".join(sorted(tables.out)) or "none"))
+        print("withdrawn: " + (", ".join(sorted(tables.withdrawn)) or "none"))
     print(
         "\n".join(
             table(
@@ -126,37 +128,38 @@
 def follow(
     folder: str = typer.Argument(..., help="The folder."),
     proxy: int = typer.Argument(..., help="The proxy whose orders are followed."),
-    kept: str = typer.Option(None, help="Where the last order to try a call again is kept, over restarts."),
-    poll: float = typer.Option(0.05, min=0.01, max=10.0, help="Seconds between two looks."),
-    seconds: float = typer.Option(0.0, min=0.0, help="Ends after that long; 0: never."),
+    kept: str = typer.Option(None, help="A file that stores the last retry order taken on, across restarts."),
+    poll: float = typer.Option(0.05, min=0.01, max=10.0, help="Seconds between two polls."),
+    seconds: float = typer.Option(0.0, min=0.0, help="End after this time; 0: never."),
 ):
-    """Prints what comes into force at one proxy, one JSON object a line: routes, levels, shut-outs, calls to try again.
+    """Prints what comes into force at one proxy, one JSON object a line: routes, levels, withdrawn backends, and calls
+    to retry.
 
-    It writes no report: a proxy does that itself (`cranecleat.files.follow.Follower`). While the folder is away, or
-    holds what cannot be used, what was in force stays and one line says why.
+    It writes no report: a proxy does that itself (`cranecleat.files.follow.Follower`). While the folder is not
+    available or its files cannot be used, the last usable ones stay in force and one line says why.
     """
     from cranecleat.files.follow import Follower
 
-    follower, said, begun = Follower(folder, proxy, kept), None, time.monotonic()
-    while not seconds or time.monotonic() - begun < seconds:
+    follower, printed_error, started = Follower(folder, proxy, kept), None, time.monotonic()
+    while not seconds or time.monotonic() - started < seconds:
         before = follower.view.seen, follower.view.fence
-        again = follower.poll()
-        if (follower.view.seen, follower.view.fence) != before or again:
-            force = follower.view.in_force
+        retries = follower.poll()
+        if (follower.view.seen, follower.view.fence) != before or retries:
+            in_force = follower.view.in_force
             print(
                 json.dumps(
                     {
-                        "applied": force.applied,
-                        "active": force.active,
-                        "levels": force.levels,
-                        "lines": {route: follower.view.pick_from(route) for route in force.weights},
-                        "out": sorted(force.withdrawn),
-                        "again": [one.call for one in again],
+                        "applied": in_force.applied,
+                        "active": in_force.active,
+                        "levels": in_force.levels,
+                        "lines": {route: follower.view.pick_from(route) for route in in_force.weights},
+                        "out": sorted(in_force.withdrawn),
+                        "again": [retry.call for retry in retries],
                     }
                 ),
                 flush=True,
             )
-        if follower.wrong != said and follower.wrong:
-            print(json.dumps({"kept": follower.wrong}), flush=True)
-        said = follower.wrong
+        if follower.error != printed_error and follower.error:
+            print(json.dumps({"kept": follower.error}), flush=True)
+        printed_error = follower.error
         time.sleep(poll)
--- a/cranecleat/files/__init__.py
+++ b/cranecleat/files/__init__.py
@@ -1,7 +1,8 @@
-"""Files as a transport: orders to proxies and their reports through files that are replaced whole.
+"""Files as a transport: a folder with orders for proxies and reports from them, in files that are replaced as a whole.
 
-The second front beside the streams: the same planner, the same rules. docs/design/files.md has the format byte for
-byte. Without I/O: `format` (text), `ledger` (what is published, in which order, and what is acknowledged), `intake`
-(what comes back), `view` (what a reader may believe), `choice` (which transport speaks to a proxy). With I/O: `disk`,
-`front`, `follow`.
+It works beside the streams, with the same planner and the same rules. docs/design/files.md describes the format byte
+for byte. Modules without I/O: `format` (files as text), `ledger` (what is published, in which order, and what has been
+acknowledged), `intake` (reports), `view` (which files a reader may apply), `choice` (which transport serves a proxy).
+Modules with I/O: `disk`, `recover` (reads a folder that exists already), `front` (the coordinator's side), `follow`
+(the proxy's side).
 """
--- a/cranecleat/files/choice.py
+++ b/cranecleat/files/choice.py
@@ -1,72 +1,86 @@
-"""Which transport speaks to each proxy: its stream, files, or neither. No I/O; the time is handed in.
+"""Selects which transport serves each proxy: its stream, files, or neither. No I/O; the caller passes the time in.
 
-Going over needs the other way to be gone for a while, and going back needs the stream to have stood for longer, so
-that a stream that comes and goes does not drag its proxy along: each change costs a whole set of tables. Nobody is
-served by two.
+A proxy moves to files only after it has been without a stream for a while, and back only after a new stream has stayed
+open for longer. A stream that comes and goes thus does not make its proxy change transports each time, as every change
+costs a whole set of tables. No proxy is served by both at once.
 """
 
-STREAM_LOST_AFTER_US, STREAM_STABLE_AFTER_US = (
-    1_500_000,
-    10_000_000,
-)  # without a stream before files take over; with one before it is gone back to
+STREAM_LOST_AFTER_US = 1_500_000  # time without a stream until files serve the proxy
+STREAM_STABLE_AFTER_US = 10_000_000  # time that a stream has to stay open until it serves the proxy again
 STREAM, FILES = "stream", "files"
 
 
-class Side:
-    __slots__ = ("serves", "stream", "files", "changed")
+class ProxyTransports:
+    """The transports of one proxy.
+
+    transport: the one that serves it, `STREAM`, `FILES` or None.
+    stream_since, files_since: when the transport became available; None while it is not.
+    stream_changed_at: when a stream last opened or closed.
+    """
+
+    __slots__ = ("transport", "stream_since", "files_since", "stream_changed_at")
 
     def __init__(self, now):
-        self.serves, self.stream, self.files = None, None, None  # who serves; since when each of the two stands
-        self.changed = now  # when the stream last came or went
+        self.transport, self.stream_since, self.files_since = None, None, None
+        self.stream_changed_at = now
 
 
-class Choice:
-    def __init__(self, lose=STREAM_LOST_AFTER_US, hold=STREAM_STABLE_AFTER_US):
-        self.lose, self.hold, self.sides = lose, hold, {}
+class TransportSelector:
+    def __init__(self, lost_after=STREAM_LOST_AFTER_US, stable_after=STREAM_STABLE_AFTER_US):
+        self.lost_after, self.stable_after, self.proxies = lost_after, stable_after, {}
 
-    def stream(self, now, proxy, up):
-        side = self.sides.setdefault(proxy, Side(now))
-        side.stream, side.changed = now if up else None, now
+    def stream(self, now, proxy, is_up):
+        """Records that the proxy's stream has opened or closed."""
+        transports = self.proxies.setdefault(proxy, ProxyTransports(now))
+        transports.stream_since, transports.stream_changed_at = now if is_up else None, now
 
-    def files(self, now, proxy, up):
-        side = self.sides.setdefault(proxy, Side(now))
-        if up and side.files is None or not up:
-            side.files = now if up else None
+    def files(self, now, proxy, is_up):
+        """Records that the proxy has begun or stopped to renew its report file."""
+        transports = self.proxies.setdefault(proxy, ProxyTransports(now))
+        if is_up and transports.files_since is None or not is_up:
+            transports.files_since = now if is_up else None
 
-    def serves(self, proxy):
-        side = self.sides.get(proxy)
-        return side and side.serves
+    def transport_of(self, proxy):
+        """`STREAM`, `FILES`, or None for a proxy that neither serves."""
+        transports = self.proxies.get(proxy)
+        return transports and transports.transport
 
     def decide(self, now):
-        """Changes as (proxy, who serves from now on); who has neither any more is forgotten."""
+        """Switches transports where it is time to and returns the changes as (proxy, transport). Forgets a proxy that
+        has neither transport any more."""
         changes = []
-        for proxy, side in list(self.sides.items()):
-            best = self.best(now, side)
-            if best != side.serves:
-                side.serves = best
+        for proxy, transports in list(self.proxies.items()):
+            best = self.best(now, transports)
+            if best != transports.transport:
+                transports.transport = best
                 changes.append((proxy, best))
-            if best is None and side.stream is None and side.files is None:
-                del self.sides[proxy]
+            if best is None and transports.stream_since is None and transports.files_since is None:
+                del self.proxies[proxy]
         return changes
 
-    def best(self, now, side):
-        if side.serves == STREAM or side.serves is None:
-            if side.stream is not None:
+    def best(self, now, transports):
+        """The transport that should serve the proxy now."""
+        if transports.transport == STREAM or transports.transport is None:
+            if transports.stream_since is not None:
                 return STREAM
-            waited = now - side.changed >= self.lose
-            return FILES if side.files is not None and waited else None
-        if side.stream is not None and (side.files is None or now - side.stream >= self.hold):
+            waited = now - transports.stream_changed_at >= self.lost_after
+            return FILES if transports.files_since is not None and waited else None
+        if transports.stream_since is not None and (
+            transports.files_since is None or now - transports.stream_since >= self.stable_after
+        ):
             return STREAM
-        return FILES if side.files is not None else None
+        return FILES if transports.files_since is not None else None
 
-    def due(self, now):
-        """When `decide` may change something by itself, or None."""
+    def next_decision_at(self, now):
+        """The next time at which `decide` may change a transport although nothing was recorded, or None."""
         times = [
-            side.changed + self.lose
-            for side in self.sides.values()
-            if side.serves is None and side.files is not None and side.stream is None
+            transports.stream_changed_at + self.lost_after
+            for transports in self.proxies.values()
+            if transports.transport is None and transports.files_since is not None and transports.stream_since is None
         ]
         times += [
-            side.stream + self.hold for side in self.sides.values() if side.serves == FILES and side.stream is not None
+            transports.stream_since + self.stable_after
+            for transports in self.proxies.values()
+            if transports.transport == FILES and transports.stream_since is not None
         ]
         return min((at for at in times if at > now), default=None)
--- a/cranecleat/files/disk.py
+++ b/cranecleat/files/disk.py
@@ -1,7 +1,9 @@
-"""Files on a disk: replaced whole or not at all, read whole or not at all. The only file work of this transport.
+"""Files on a disk, each replaced or read as a whole or not at all. The rest of this transport reads and writes the
+folder's files through this module.
 
-Every system call goes through `calls`, so that tests can stop, fail or kill between any two of them. A file that is
-being read is never changed: a new one takes its name, and who has the old one open reads that to its end.
+Every system call of `Disk` goes through `system_calls`, so that tests can interrupt, fail or kill between any two of
+them. The content of a file never changes while somebody reads it: a new file takes over its name, and a reader that has
+the old one open reads it to its end.
 """
 
 import contextlib
@@ -10,35 +12,35 @@
 import os
 import stat
 
-from cranecleat.files.format import LONGEST, UnusableFileError, Words, name, sealed, unname
+from cranecleat.files.format import MAX_FILE_BYTES, FileLines, UnusableFileError, encode_file, quote_name, unquote_name
 
 TABLES, OWNER, LOCK = "tables", "owner", "lock"
 BODIES, ORDERS, REPORTS = "bodies", "orders", "back"
-NEW = ".new"  # what a temporary name ends in
-SYNC_MODES = ("none", "data", "all")  # nothing; each file before it gets its name; and the folder after that
-PIECE = 1 << 16
+TEMPORARY_SUFFIX = ".new"
+SYNC_MODES = ("none", "data", "all")  # sync nothing; each file before it gets its name; the folder after that as well
+READ_CHUNK_BYTES = 1 << 16
 
 
-class Calls:
-    """The system calls that are used, by name."""
+class SystemCalls:
+    """The system calls that this module makes, by name."""
 
     open, write, fsync, close, rename, unlink = os.open, os.write, os.fsync, os.close, os.rename, os.unlink
     read, fstat, scandir, mkdir = os.read, os.fstat, os.scandir, os.mkdir
 
 
 class FolderHeldError(Exception):
-    """Another writer holds the folder."""
+    """Another writer holds the folder's lock."""
 
 
 class FencedError(Exception):
-    """Another writer has taken the folder since: nothing may be written there any more."""
+    """Another writer has taken the folder over, so this one may not write there any more."""
 
 
 class Disk:
     """One folder of the transport."""
 
-    def __init__(self, root, sync="data", calls=Calls):
-        self.root, self.sync, self.calls = os.fspath(root), sync, calls
+    def __init__(self, root, sync="data", system_calls=SystemCalls):
+        self.root, self.sync, self.system_calls = os.fspath(root), sync, system_calls
 
     def path(self, *parts):
         return os.path.join(self.root, *parts)
@@ -46,43 +48,46 @@
     # Reading
 
     def read(self, *parts):
-        """The content of a regular file, or None where there is none. A link, a device or a folder is no file."""
-        calls = self.calls
+        """The content of a regular file, or None if it does not exist. Links, devices and folders are refused."""
+        system_calls = self.system_calls
         try:
-            file = calls.open(self.path(*parts), os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
+            file = system_calls.open(self.path(*parts), os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
         except FileNotFoundError:
             return None
         except OSError as failure:
             if failure.errno in (errno.ELOOP, errno.ENXIO, errno.ENOTDIR):
-                raise UnusableFileError("a link or no file at all; only regular files are read") from None
+                raise UnusableFileError("a symbolic link or not a file; only regular files are read") from None
             raise
         try:
-            found = calls.fstat(file)
-            if not stat.S_ISREG(found.st_mode):
-                raise UnusableFileError("no regular file")
-            if found.st_size > LONGEST:
-                raise UnusableFileError(f"{found.st_size} bytes, where {LONGEST} are the most")
-            pieces = []
-            while piece := calls.read(file, PIECE):
-                pieces.append(piece)
-                if sum(map(len, pieces)) > LONGEST:
-                    raise UnusableFileError("it grows while it is read: it is not replaced whole")
-            return b"".join(pieces)
+            status = system_calls.fstat(file)
+            if not stat.S_ISREG(status.st_mode):
+                raise UnusableFileError("not a regular file")
+            if status.st_size > MAX_FILE_BYTES:
+                raise UnusableFileError(f"{status.st_size} bytes exceed the limit of {MAX_FILE_BYTES}")
+            chunks = []
+            while chunk := system_calls.read(file, READ_CHUNK_BYTES):
+                chunks.append(chunk)
+                if sum(map(len, chunks)) > MAX_FILE_BYTES:
+                    raise UnusableFileError(
+                        "the file grows while it is read: its writer does not replace it as a whole"
+                    )
+            return b"".join(chunks)
         finally:
-            calls.close(file)
+            system_calls.close(file)
 
     def list_files(self, folder):
-        """Names and what tells one version of a file from another; temporary ones are left out."""
+        """(name, version) of each file but temporary ones. The version (inode, modification time, size) tells a file
+        that was replaced from the one before."""
         try:
-            with self.calls.scandir(self.path(folder)) as entries:
+            with self.system_calls.scandir(self.path(folder)) as entries:
                 found = []
                 for entry in entries:
-                    if not entry.name.endswith(NEW):
+                    if not entry.name.endswith(TEMPORARY_SUFFIX):
                         try:
-                            told = entry.stat(follow_symlinks=False)
+                            status = entry.stat(follow_symlinks=False)
                         except FileNotFoundError:
                             continue  # replaced or removed meanwhile
-                        found.append((entry.name, (told.st_ino, told.st_mtime_ns, told.st_size)))
+                        found.append((entry.name, (status.st_ino, status.st_mtime_ns, status.st_size)))
                 return found
         except FileNotFoundError:
             return []
@@ -90,72 +95,74 @@
     # Writing
 
     def replace(self, data, *parts):
-        """Puts a file in place of what has that name. After a failed sync nothing of it is used again."""
-        calls, final = self.calls, self.path(*parts)
-        beside = final + NEW
+        """Replaces the file of that name. If a step fails, the temporary file is removed and never used again: after a
+        failed sync its content is uncertain."""
+        system_calls, final = self.system_calls, self.path(*parts)
+        temporary = final + TEMPORARY_SUFFIX
         try:
-            file = self.fresh(beside)
+            file = self.create(temporary)
             try:
-                left = memoryview(data)
-                while left:
-                    left = left[calls.write(file, left) :]
+                remaining = memoryview(data)
+                while remaining:
+                    remaining = remaining[system_calls.write(file, remaining) :]
                 if self.sync != "none":
-                    calls.fsync(file)
+                    system_calls.fsync(file)
             finally:
-                calls.close(file)
-            calls.rename(beside, final)
+                system_calls.close(file)
+            system_calls.rename(temporary, final)
         except OSError:
-            self.remove_quietly(beside)
+            self.remove_quietly(temporary)
             raise
         if self.sync == "all":
             self.sync_folder(os.path.dirname(final))
 
-    def fresh(self, path):
-        """A new file of that name; one that a writer which was killed has left there goes first."""
+    def create(self, path):
+        """Opens a new file of that name, after removing one that a killed writer has left there."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC
         try:
-            return self.calls.open(path, flags, 0o644)
+            return self.system_calls.open(path, flags, 0o644)
         except FileExistsError:
-            self.calls.unlink(path)
-            return self.calls.open(path, flags, 0o644)
+            self.system_calls.unlink(path)
+            return self.system_calls.open(path, flags, 0o644)
 
     def remove(self, *parts):
         with contextlib.suppress(FileNotFoundError):
-            self.calls.unlink(self.path(*parts))
+            self.system_calls.unlink(self.path(*parts))
 
     def remove_quietly(self, path):
         with contextlib.suppress(OSError):
-            self.calls.unlink(path)
+            self.system_calls.unlink(path)
 
     def sync_folder(self, path):
-        folder = self.calls.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        folder = self.system_calls.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            self.calls.fsync(folder)
+            self.system_calls.fsync(folder)
         finally:
-            self.calls.close(folder)
+            self.system_calls.close(folder)
 
     def prepare(self):
+        """Creates the folder and its subfolders where they do not exist."""
         for folder in ("", BODIES, ORDERS, REPORTS):
             with contextlib.suppress(FileExistsError):
-                self.calls.mkdir(self.path(folder) if folder else self.root, 0o755)
+                self.system_calls.mkdir(self.path(folder) if folder else self.root, 0o755)
 
     def sweep(self):
-        """Temporary files that a killed writer has left in our folders; returns how many."""
+        """Removes temporary files that a killed writer has left in the coordinator's folders; returns how many."""
         swept = 0
         for folder in ("", BODIES, ORDERS):
-            with self.calls.scandir(self.path(folder)) as entries:
-                for path in [entry.path for entry in entries if entry.name.endswith(NEW)]:
+            with self.system_calls.scandir(self.path(folder)) as entries:
+                for path in [entry.path for entry in entries if entry.name.endswith(TEMPORARY_SUFFIX)]:
                     self.remove_quietly(path)
                     swept += 1
         return swept
 
 
 class FolderLock:
-    """The writer's hold of a folder: a lock while the process lives, and a fence that each writer raises. The lock
-    keeps two processes of one machine apart; the fence is for folders that machines share, where locks may not
-    reach."""
+    """The writer's exclusive right to a folder: a file lock held while the process lives, and a fencing token that each
+    writer raises. The lock keeps two processes on one machine apart. The fence covers folders that several machines
+    share, where locks may not reach."""
 
-    def __init__(self, disk, writer, unix):
+    def __init__(self, disk, writer, unix_time):
         self.disk, self.file = disk, None
         file = os.open(disk.path(LOCK), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o644)
         try:
@@ -165,11 +172,11 @@
             raise FolderHeldError(f"{disk.root} is held by another coordinator: {self.owner_text(disk)}") from None
         self.file = file
         try:
-            before = read_owner(disk.read(OWNER) or b"")[0]
+            previous_fence = read_owner(disk.read(OWNER) or b"")[0]
         except UnusableFileError:
-            before = 0
-        self.fence = max(before + 1, unix)
-        disk.replace(write_owner(self.fence, unix, writer), OWNER)
+            previous_fence = 0
+        self.fence = max(previous_fence + 1, unix_time)
+        disk.replace(write_owner(self.fence, unix_time, writer), OWNER)
 
     @staticmethod
     def owner_text(disk):
@@ -180,13 +187,14 @@
             return "its owner file cannot be read"
 
     def check(self):
-        """Raises `FencedError` if another writer has raised the fence. A file that cannot be read fences nobody."""
+        """Raises `FencedError` if another writer has raised the fence. An owner file that cannot be read does not count
+        as a higher fence."""
         try:
             fence, _, writer = read_owner(self.disk.read(OWNER) or b"")
         except UnusableFileError:
             return
         if fence > self.fence:
-            raise FencedError(f"{writer} has taken {self.disk.root} with fence {fence}; ours is {self.fence}")
+            raise FencedError(f"{writer} has taken over {self.disk.root} with fence {fence}; ours is {self.fence}")
 
     def release(self):
         if self.file is not None:
@@ -195,22 +203,23 @@
 
 
 def write_owner(fence, life, writer):
-    return sealed("owner", [f"fence {fence}", f"life {life}", f"writer {name(writer)}"])
+    return encode_file("owner", [f"fence {fence}", f"life {life}", f"writer {quote_name(writer)}"])
 
 
 def read_owner(data):
-    words = Words("owner", data, {"fence", "life", "writer"})
-    return words.whole("fence"), words.whole("life"), unname(words.one("writer", 1)[0])
+    """(fence, life, writer's name)."""
+    lines = FileLines("owner", data, {"fence", "life", "writer"})
+    return lines.whole_number("fence"), lines.whole_number("life"), unquote_name(lines.one("writer", 1)[0])
 
 
 def apply_step(disk, step):
-    """One step of a publication."""
-    kind, *what = step
+    """Carries out one step of a publication; see `Ledger.steps`."""
+    kind, *values = step
     if kind == "body":
-        disk.replace(what[1], BODIES, what[0])
+        disk.replace(values[1], BODIES, values[0])
     elif kind == "tables":
-        disk.replace(what[0], TABLES)
+        disk.replace(values[0], TABLES)
     elif kind == "orders":
-        disk.replace(what[1], ORDERS, str(what[0]))
+        disk.replace(values[1], ORDERS, str(values[0]))
     else:
-        disk.remove(BODIES, what[0])
+        disk.remove(BODIES, values[0])
--- a/cranecleat/files/follow.py
+++ b/cranecleat/files/follow.py
@@ -1,99 +1,105 @@
-"""A reader for proxies: `Follower(folder, proxy).look()` brings what is in force; `report` says so. For people:
-`cranecleat files follow`.
+"""A reader for proxies: `Follower(folder, proxy).poll()` puts new orders in force, and `report` reports them. The
+command `cranecleat files follow` shows the same to people.
 
-It polls (two `stat` calls where nothing has changed): a folder that is replaced, mounted anew or shared between
-machines brings no notifications, and a poll of 50 ms costs a thousandth of a core. What cannot be used leaves in
-force what was.
+The reader polls, with two `stat` calls while nothing changes: a folder that is replaced, mounted again or shared
+between machines sends no notifications, and a poll every 50 ms costs a thousandth of a core. While the files cannot be
+used, the last usable ones stay in force.
 """
 
 import os
 from functools import partial
 
-from cranecleat.files.disk import BODIES, ORDERS, REPORTS, TABLES, Calls, Disk
+from cranecleat.files.disk import BODIES, ORDERS, REPORTS, TABLES, Disk, SystemCalls
 from cranecleat.files.format import UnusableFileError, read_body, read_orders, read_tables, write_report
 from cranecleat.files.view import View
 
-TRIES = 4  # to read tables and bodies that fit: a body may go while the tables that name it are replaced
+READ_TRIES = 4  # attempts to read tables with all their bodies: one may be removed while the tables are replaced
 
 
 class Follower:
-    """Follows one proxy's orders. `kept` is a file of the reader's own, in which the last order to try again that it
-    has taken on stands before it is acted on: it has to survive what the calls survive."""
+    """Follows one proxy's orders.
 
-    def __init__(self, folder, proxy, kept=None, calls=Calls):
-        self.disk, self.proxy, self.kept = Disk(folder, "data", calls), proxy, kept
+    state_file: a file of the reader's own that stores the last retry order taken on. It is written before the order is
+    acted on and has to survive whatever the calls survive, as otherwise a call may be retried twice.
+    error: why the last poll put nothing in force, or None.
+    """
+
+    def __init__(self, folder, proxy, state_file=None, system_calls=SystemCalls):
+        self.disk, self.proxy, self.state_file = Disk(folder, "data", system_calls), proxy, state_file
         self.view = View(proxy, *self.load())
-        self.version, self.wrong, self.bodies = None, None, {}
+        self.version, self.error, self.bodies = None, None, {}
 
     def load(self):
+        """(number of the last retry order taken on, fence) as stored, or (0, 0)."""
         try:
-            with open(self.kept, encoding="ascii") as file:
-                done, fence = file.read().split()
-                return int(done), int(fence)
+            with open(self.state_file, encoding="ascii") as file:
+                last_retry, fence = file.read().split()
+                return int(last_retry), int(fence)
         except (OSError, TypeError, ValueError):
             return 0, 0
 
-    def save(self, order):
-        if self.kept:
-            keeper = Disk(os.path.dirname(os.path.abspath(self.kept)), "all")
-            keeper.replace(f"{order.number} {self.view.fence}\n".encode(), os.path.basename(self.kept))
+    def save(self, retry):
+        """Stores that this retry order is taken on."""
+        if self.state_file:
+            state_disk = Disk(os.path.dirname(os.path.abspath(self.state_file)), "all")
+            state_disk.replace(f"{retry.number} {self.view.fence}\n".encode(), os.path.basename(self.state_file))
 
     def poll(self):
-        """Takes up what has changed. Returns calls to try again, each once ever; `wrong` says why nothing was taken
-        up."""
+        """Puts changed files in force. Returns the retry orders to act on now, each once only; `error` says why nothing
+        was put in force."""
         try:
             version = [self.stat(ORDERS, str(self.proxy)), self.stat(TABLES)]
         except OSError as failure:
-            self.wrong = failure.strerror  # the folder is away: what is in force stays
+            self.error = failure.strerror  # the folder is not available, so what is in force stays
             return []
         if version == self.version:
             return []
-        fresh = self.read()
-        if fresh is None:
+        new_retries = self.read()
+        if new_retries is None:
             return []
         self.version = version
-        acted = []
-        for order in fresh:
-            self.save(order)
-            if self.view.take_on(order):
-                acted.append(order)
-        return acted
+        taken_on = []
+        for retry in new_retries:
+            self.save(retry)
+            if self.view.take_on(retry):
+                taken_on.append(retry)
+        return taken_on
 
     def stat(self, *parts):
-        told = os.stat(self.disk.path(*parts), follow_symlinks=False)
-        return told.st_ino, told.st_mtime_ns, told.st_size
+        status = os.stat(self.disk.path(*parts), follow_symlinks=False)
+        return status.st_ino, status.st_mtime_ns, status.st_size
 
     def read(self):
-        """Orders to try again that are new, or None where nothing could be taken up."""
-        for _ in range(TRIES):
+        """The new retry orders, or None if nothing could be put in force."""
+        for _ in range(READ_TRIES):
             try:
                 orders, tables = self.disk.read(ORDERS, str(self.proxy)), self.disk.read(TABLES)
                 if orders is None or tables is None:
-                    self.wrong = "no orders or no tables stand"
+                    self.error = "the file of orders or of tables does not exist"
                     return None
                 found = {}
-                fresh = self.view.offer(read_orders(orders), read_tables(tables), partial(self.body, found=found))
-                self.bodies, self.wrong = found, None
-                return fresh
-            except UnusableFileError as wrong:
-                self.wrong = str(wrong)
+                new_retries = self.view.offer(read_orders(orders), read_tables(tables), partial(self.body, found=found))
+                self.bodies, self.error = found, None
+                return new_retries
+            except UnusableFileError as error:
+                self.error = str(error)
             except OSError as failure:
-                self.wrong = failure.strerror
+                self.error = failure.strerror
         return None
 
-    def body(self, called, found):
-        """A body is read once, as it never changes."""
-        if called not in found:
-            if called in self.bodies:
-                found[called] = self.bodies[called]
+    def body(self, name, found):
+        """The body of that name. It is read once only, as a body never changes."""
+        if name not in found:
+            if name in self.bodies:
+                found[name] = self.bodies[name]
             else:
-                data = self.disk.read(BODIES, called)
+                data = self.disk.read(BODIES, name)
                 if data is None:
-                    raise UnusableFileError(f"body {called} has gone")
-                found[called] = read_body(data, called)
-        return found[called]
+                    raise UnusableFileError(f"body {name} does not exist")
+                found[name] = read_body(data, name)
+        return found[name]
 
     def report(self, report):
-        """Puts this reader's report in place, with what it has in force."""
-        report.applied, report.again = self.view.in_force.applied, self.view.done
+        """Writes this reader's report file, with what is in force."""
+        report.applied, report.last_retry = self.view.in_force.applied, self.view.last_retry
         self.disk.replace(write_report(report), REPORTS, report.who)
--- a/cranecleat/files/front.py
+++ b/cranecleat/files/front.py
@@ -1,14 +1,14 @@
-"""The service's side of the transport: polls what comes back, publishes what is decided, says what fails. Decides
-nothing.
+"""The coordinator's side of the files transport: polls the reports, publishes the planner's decisions and logs what
+fails. It decides nothing itself.
 
-Proxies that are served through files are joined to the planner like those on streams; `Both` is the planner's writer
+Proxies that are served through files join the planner like those on streams. `CombinedWriter` is the planner's writer
 then.
 """
 
 import time
 
 from cranecleat.decoding import MalformedError
-from cranecleat.files.choice import FILES, STREAM, Choice
+from cranecleat.files.choice import FILES, STREAM, TransportSelector
 from cranecleat.files.disk import REPORTS, Disk, FencedError, FolderHeldError, FolderLock, apply_step
 from cranecleat.files.format import UnusableFileError, read_report
 from cranecleat.files.intake import Intake
@@ -17,14 +17,14 @@
 from cranecleat.protocol.limits import LOG_SUMMARY_INTERVAL_US
 from cranecleat.protocol.reasons import Reason
 
-AGAIN = 500_000  # microseconds until a publication that failed is tried again
-SLOW = 50_000  # of one publication: the disk holds rounds up
-MOST_TOLD = 16  # proxies that one line of lags names, the worst first
-LAGGED = 2  # a proxy is said to lag after the grace of drains by this
+PUBLISH_RETRY_US = 500_000  # until a publication that failed is tried again
+SLOW_PUBLICATION_US = 50_000  # a publication that takes longer is logged, as the disk then delays rounds
+MAX_LOGGED_LAGS = 16  # proxies in one log line of lags, those furthest behind first
+LAGGING_GRACE_DIVISOR = 2  # a proxy that is behind for longer than the grace of drains divided by this is lagging
 
 
 class CombinedWriter:
-    """The planner's writer where some proxies are on streams and some on files."""
+    """The planner's writer where some proxies are served on streams and some through files."""
 
     def __init__(self, streams, ledger):
         self.streams, self.ledger = streams, ledger
@@ -37,9 +37,9 @@
     def bind(self, proxy, table, routes, is_subset=False):
         (self.ledger if proxy in self.ledger.proxies else self.streams).bind(proxy, table, routes, is_subset)
 
-    def withdraw(self, backend, out):
-        self.streams.withdraw(backend, out)
-        self.ledger.withdraw(backend, out)
+    def withdraw(self, backend, is_withdrawn):
+        self.streams.withdraw(backend, is_withdrawn)
+        self.ledger.withdraw(backend, is_withdrawn)
 
     def set_admission(self, table, routes, level, tries):
         self.streams.set_admission(table, routes, level, tries)
@@ -54,19 +54,26 @@
 
 
 class FilesTransport:
-    def __init__(self, coordinator, section, calls=None):
-        self.coordinator, self.section = coordinator, section
+    """Serves proxies through one folder.
+
+    settings: the operator's `files` section.
+    versions: report file -> the version last read.
+    waiting_streams: proxy -> what its stream joined with, while files still serve the proxy.
+    """
+
+    def __init__(self, coordinator, settings, system_calls=None):
+        self.coordinator, self.settings = coordinator, settings
         configuration = coordinator.configuration
         try:
-            self.disk = Disk(section.folder, section.sync, *([calls] if calls else []))
+            self.disk = Disk(settings.folder, settings.sync, *([system_calls] if system_calls else []))
             self.disk.prepare()
             self.lock = FolderLock(self.disk, configuration.name, int(time.time()))
             found = scan_folder(self.disk, sweep=True)
-        except FolderHeldError as taken:
-            raise MalformedError(str(taken)) from None
+        except FolderHeldError as held:
+            raise MalformedError(str(held)) from None
         except OSError as failure:
             raise MalformedError(
-                f"{section.folder}: {failure.strerror}; `folder` in the operator's file names it"
+                f"{settings.folder}: {failure.strerror}; `folder` in the operator's file names it"
             ) from None
         self.ledger = Ledger(
             coordinator.names, configuration.routes, self.lock.fence, int(time.time()), found.generation
@@ -79,137 +86,146 @@
             coordinator.names,
             configuration.bootstrap.cycle,
         )
-        self.choice = Choice(section.lose, section.hold)
-        self.versions, self.waiting_streams, self.retry_at, self.closed = {}, {}, 0, False
-        self.lagging, self.next_lags = set(), 0
+        self.selector = TransportSelector(settings.lose, settings.hold)
+        self.versions, self.waiting_streams = {}, {}
+        self.retry_at, self.closed = 0, False
+        self.lagging, self.next_lag_log_at = set(), 0
         coordinator.log.info(
             "files_open",
-            folder=section.folder,
+            folder=settings.folder,
             fence=self.lock.fence,
             generation=found.generation,
             bodies=len(found.bodies),
             proxies=len(found.orders),
             swept=found.swept or None,
         )
-        for path, wrong in found.wrong:
-            coordinator.log.warning("files_found", path=path, says=wrong)
+        for path, error in found.errors:
+            coordinator.log.warning("files_found", path=path, says=error)
         if found.foreign:
             coordinator.log.warning("files_foreign", names=",".join(found.foreign[:8]), count=len(found.foreign))
 
-    # What comes back
+    # Reports
 
     def poll(self):
+        """Reads new reports, switches transports, publishes, and calls itself again after the poll interval."""
         if self.closed:
             return
         now = self.coordinator.clock.now()
         try:
-            names = self.disk.list_files(REPORTS)
+            found = self.disk.list_files(REPORTS)
         except OSError as failure:
             self.coordinator.log_aggregated("files_unread", says=failure.strerror)
-            names = []
+            found = []
         most = self.coordinator.configuration.proxies + len(self.coordinator.configuration.zones)
-        if len(names) > most:
-            self.coordinator.log_aggregated("files_too_many", says=f"{len(names)} reports, {most} are the most")
-        standing = {}
-        for called, version in sorted(names)[: 2 * most]:
-            standing[called] = version
-            if self.versions.get(called) != version:
-                self.take(now, called)
-        self.versions = standing
-        calls, ended = self.intake.silent(now)
+        if len(found) > most:
+            self.coordinator.log_aggregated("files_too_many", says=f"{len(found)} reports exceed the limit of {most}")
+        versions = {}
+        for name, version in sorted(found)[: 2 * most]:
+            versions[name] = version
+            if self.versions.get(name) != version:
+                self.take(now, name)
+        self.versions = versions
+        events, ended = self.intake.silent(now)
         for who in ended:
             self.versions.pop(who, None)
             self.coordinator.log.info("files_silent", who=who)
-        self.left(now, calls)
+        self.record_departures(now, events)
         self.switch(now)
         self.publish()
-        self.tell_lags(now)
-        self.coordinator.clock.call_at(now + self.section.poll, self.poll)
+        self.log_lags(now)
+        self.coordinator.clock.call_at(now + self.settings.poll, self.poll)
 
-    def take(self, now, called):
+    def take(self, now, name):
+        """Reads one report and passes its events to the planner."""
         try:
-            data = self.disk.read(REPORTS, called)
+            data = self.disk.read(REPORTS, name)
             if data is None:
                 return
             report = read_report(data)
-            if report.who != called:
+            if report.who != name:
                 raise UnusableFileError(f"a report of {report.who[:40]!r}")
-            calls = self.intake.take(now, report)
-        except UnusableFileError as wrong:
-            self.coordinator.log_aggregated("files_spoilt", detail=f"{called[:40]}: {wrong}")
+            events = self.intake.take(now, report)
+        except UnusableFileError as error:
+            self.coordinator.log_aggregated("files_spoilt", detail=f"{name[:40]}: {error}")
             return
         except OSError as failure:
             self.coordinator.log_aggregated("files_unread", says=failure.strerror)
             return
-        proxy = self.intake.known(report.who)
-        self.left(now, calls)
-        for call in calls:
-            if call[0] == "proxy_joined":
-                self.choice.files(now, proxy, True)
-            elif call[0] == "attempts_reported" or call[0] == "demand_reported" and self.choice.serves(proxy) == FILES:
-                self.coordinator.queue_event(call)
-        if proxy is not None and self.choice.serves(proxy) == FILES:
-            for mark in self.ledger.acknowledge(proxy, *report.applied, report.again, now):
-                self.coordinator.queue_event(("acknowledged", proxy, mark))
+        proxy = self.intake.proxy_of(report.who)
+        self.record_departures(now, events)
+        for event in events:
+            if event[0] == "proxy_joined":
+                self.selector.files(now, proxy, True)
+            elif (
+                event[0] == "attempts_reported"
+                or event[0] == "demand_reported"
+                and self.selector.transport_of(proxy) == FILES
+            ):
+                self.coordinator.queue_event(event)
+        if proxy is not None and self.selector.transport_of(proxy) == FILES:
+            for ack_number in self.ledger.acknowledge(proxy, *report.applied, report.last_retry, now):
+                self.coordinator.queue_event(("acknowledged", proxy, ack_number))
 
-    def left(self, now, calls):
-        for call in calls:
-            if call[0] == "proxy_left":
-                self.choice.files(now, call[1], False)
+    def record_departures(self, now, events):
+        for event in events:
+            if event[0] == "proxy_left":
+                self.selector.files(now, event[1], False)
 
-    # Which transport
+    # Which transport serves a proxy
 
-    def stream_opened(self, connection, zone, typical, standing):
-        """Whether the stream of a proxy serves it at once; if not, it waits until it has stood for long enough."""
+    def stream_opened(self, connection, zone, typical_rate, uses_initial_table):
+        """Whether the proxy's stream serves it at once. If not, it waits until it has stayed open for long enough."""
         now, proxy = self.coordinator.clock.now(), connection.proxy
         if self.closed:
             return True
-        self.choice.stream(now, proxy, True)
-        if self.choice.serves(proxy) != FILES:
-            self.choice.decide(now)
+        self.selector.stream(now, proxy, True)
+        if self.selector.transport_of(proxy) != FILES:
+            self.selector.decide(now)
             return True
         old = self.waiting_streams.pop(proxy, None)
         if old:
             old[0].end(Reason.REPLACED)
-        self.waiting_streams[proxy] = connection, zone, typical, standing
+        self.waiting_streams[proxy] = connection, zone, typical_rate, uses_initial_table
         self.coordinator.log.info("files_stream_waits", proxy=proxy)
         return False
 
     def stream_closed(self, connection, served):
-        """A stream has ended: the one that served its proxy, one that stood aside, or one that was replaced."""
+        """A stream has ended: one that served its proxy, one that was waiting, or one that was replaced."""
         proxy = connection.proxy
-        aside = proxy in self.waiting_streams and self.waiting_streams[proxy][0] is connection
-        if aside:
+        was_waiting = proxy in self.waiting_streams and self.waiting_streams[proxy][0] is connection
+        if was_waiting:
             del self.waiting_streams[proxy]
-        if served or aside:
-            self.choice.stream(self.coordinator.clock.now(), proxy, False)
+        if served or was_waiting:
+            self.selector.stream(self.coordinator.clock.now(), proxy, False)
 
     def switch(self, now):
-        for proxy, serves in self.choice.decide(now):
+        """Carries out the changes of transport that are due."""
+        for proxy, transport in self.selector.decide(now):
             if proxy in self.ledger.proxies:
                 self.ledger.leave(proxy)
                 self.coordinator.queue_event(("proxy_left", proxy))
-            party = self.intake.parties.get(f"p{proxy}")
-            if serves == FILES and party:
+            writer = self.intake.writers.get(f"p{proxy}")
+            if transport == FILES and writer:
                 self.ledger.join(proxy)
                 self.coordinator.queue_event(
                     (
                         "proxy_joined",
                         proxy,
-                        self.intake.zones[party.report.zone],
-                        party.report.typical,
-                        party.report.standing,
+                        self.intake.zones[writer.report.zone],
+                        writer.report.typical_rate,
+                        writer.report.uses_initial_table,
                         0,
                     )
                 )
-            elif serves == STREAM and proxy in self.waiting_streams:
-                self.publish()  # that it follows files no more stands before anything comes on its stream
+            elif transport == STREAM and proxy in self.waiting_streams:
+                self.publish()  # tells the proxy to stop following files before anything is sent on its stream
                 self.coordinator.join_stream(*self.waiting_streams.pop(proxy))
-            self.coordinator.log.info("files_serves", proxy=proxy, by=serves or "nobody")
+            self.coordinator.log.info("files_serves", proxy=proxy, by=transport or "nobody")
 
-    # What goes out
+    # Publication
 
     def publish(self):
+        """Writes what has changed. After a failure the whole publication is tried again later."""
         now = self.coordinator.clock.now()
         if self.closed or now < self.retry_at or not self.ledger.has_changes():
             return
@@ -226,14 +242,15 @@
             return
         except OSError as failure:
             self.ledger.publication_failed()
-            self.retry_at = now + AGAIN
+            self.retry_at = now + PUBLISH_RETRY_US
             self.coordinator.log_aggregated("files_unwritten", says=failure.strerror)
-        took = self.coordinator.clock.now() - now
-        if took > SLOW:
-            self.coordinator.log_aggregated("files_slow", detail=f"{took} us")
+        elapsed = self.coordinator.clock.now() - now
+        if elapsed > SLOW_PUBLICATION_US:
+            self.coordinator.log_aggregated("files_slow", detail=f"{elapsed} us")
 
     def give_up(self):
-        """The folder is another writer's: whom it served has left here, and streams that stood aside serve at once."""
+        """Another writer has taken the folder over: the proxies served through it leave the planner, and streams that
+        were waiting serve at once."""
         self.closed = True
         for proxy in list(self.ledger.proxies):
             self.ledger.leave(proxy)
@@ -241,19 +258,20 @@
         for proxy in list(self.waiting_streams):
             self.coordinator.join_stream(*self.waiting_streams.pop(proxy))
 
-    def tell_lags(self, now):
-        """A reader that lags is said once, and once when it does not any more; lags as figures every five seconds."""
+    def log_lags(self, now):
+        """Logs once that a reader is lagging and once that it has caught up, and the lags as figures at the interval of
+        log summaries."""
         lags = {p: lag for p, lag in self.ledger.lags(now).items() if lag}
-        if lags and now >= self.next_lags:
-            self.next_lags = now + LOG_SUMMARY_INTERVAL_US
-            worst = sorted(lags, key=lags.get, reverse=True)[:MOST_TOLD]
+        if lags and now >= self.next_lag_log_at:
+            self.next_lag_log_at = now + LOG_SUMMARY_INTERVAL_US
+            longest = sorted(lags, key=lags.get, reverse=True)[:MAX_LOGGED_LAGS]
             self.coordinator.log.info(
-                "files_lag", behind=len(lags), seconds=",".join(f"{p}:{lags[p] / 1e6:.2f}" for p in worst)
+                "files_lag", behind=len(lags), seconds=",".join(f"{p}:{lags[p] / 1e6:.2f}" for p in longest)
             )
         late = {
             p
             for p, lag in self.ledger.lags(now).items()
-            if lag > self.coordinator.configuration.bootstrap.grace // LAGGED
+            if lag > self.coordinator.configuration.bootstrap.grace // LAGGING_GRACE_DIVISOR
         }
         for proxy in sorted(late - self.lagging):
             self.coordinator.log.warning("files_lagging", proxy=proxy)
--- a/cranecleat/files/intake.py
+++ b/cranecleat/files/intake.py
@@ -1,114 +1,142 @@
-"""Reports that come back as files: joinings, signs of life, answers and sums, as calls of the planner. No I/O.
+"""Turns the report files into events for the planner: joins, heartbeats, demand and attempts. No I/O.
 
-A report holds sums since its writer's life began, so each interval counts once, however often a file is read or how
-many were replaced unread. After a start of ours the first report of each only says from where on to count.
+A report holds sums since its writer's life began. Each interval therefore counts once, however often a file is read and
+however many were replaced before they were read. After the coordinator has started, the first report of each writer
+only sets the values from which to count.
 """
 
 from cranecleat.files.format import UnusableFileError
 
-MISSED, LEAST, MOST = 4, 300_000, 10_000_000  # beats without one, and the least and most time of it, until one has left
-COVERED = 120  # cycles that the sums of one report may cover
-SURGE = 1e7  # calls or tries in one report: far beyond what COVERED cycles can hold
+MISSED_BEATS = 4  # a writer has left after so many beat intervals without a new report
+MIN_SILENCE_US = 300_000  # but after no less time than this
+MAX_SILENCE_US = 10_000_000  # and no more than this
+MAX_COVERED_CYCLES = 120  # that the sums of one report may cover
+SURGE = 1e7  # calls or tries in one report: far beyond what MAX_COVERED_CYCLES can hold
 
 
-class Party:
-    """`at`: when its last new report was read; `base`: the one up to which sums have been counted, at `counted`."""
+class ReportWriter:
+    """A proxy or a collector that writes reports.
+
+    report, received_at: its last report, and when that was read.
+    base, counted_at: the report up to which its sums are counted, and when they were.
+    """
 
     def __init__(self, report, now):
         self.report = self.base = report
-        self.at = self.counted = now
+        self.received_at = self.counted_at = now
 
 
 class Intake:
-    """`zones` and `routes`: name -> index; `names`: backends' names and indices, as `decoding.Names` keeps them."""
+    """`zones` and `routes`: name -> index. `backend_names`: maps backends' names to indices, see
+    `decoding.IndexMap`."""
 
-    def __init__(self, zones, routes, proxies, names, cycle):
-        self.zones, self.routes, self.proxies, self.names, self.cycle = zones, routes, proxies, names, cycle
-        self.parties = {}  # who -> its last report; bounded by the configuration's proxies and zones
+    def __init__(self, zones, routes, proxies, backend_names, cycle):
+        self.zones, self.routes, self.proxies, self.backend_names = zones, routes, proxies, backend_names
+        self.cycle = cycle
+        self.writers = {}  # who -> ReportWriter; no more than the configuration has proxies and zones
 
-    def known(self, who):
-        """The proxy's number, or None for a collector; raises for what the configuration does not have."""
+    def proxy_of(self, who):
+        """The proxy's number, or None for a collector. Raises `UnusableFileError` for a name that the configuration
+        does not have."""
         kind, rest = who[:1], who[1:]
         if kind == "p" and rest.isascii() and rest.isdigit() and str(int(rest)) == rest and int(rest) < self.proxies:
             return int(rest)
         if kind == "z" and rest in self.zones:
             return None
-        raise UnusableFileError(f"{who[:40]!r} is no proxy and no zone of the configuration")
+        raise UnusableFileError(f"{who[:40]!r} is not a proxy or zone of the configuration")
 
     def take(self, now, report):
-        """Planner's calls for one report that was read. One that is older than the last one says nothing."""
-        proxy = self.known(report.who)
+        """The planner's events for one report that was read. A report older than the last one yields none."""
+        proxy = self.proxy_of(report.who)
         if report.zone not in self.zones or not 1 <= report.every <= 60_000:
-            raise UnusableFileError(f"zone {report.zone[:40]!r} or beat of {report.every} ms that cannot be")
-        party, calls = self.parties.get(report.who), []
-        if party and (report.life, report.beat) <= (party.report.life, party.report.beat):
+            raise UnusableFileError(f"unknown zone {report.zone[:40]!r} or invalid beat interval of {report.every} ms")
+        writer = self.writers.get(report.who)
+        events = []
+        if writer and (report.life, report.beat) <= (writer.report.life, writer.report.beat):
             return []
-        if party is None or report.life != party.report.life:
-            self.parties[report.who] = Party(report, now)
+        if writer is None or report.life != writer.report.life:
+            self.writers[report.who] = ReportWriter(report, now)
             if proxy is not None:
-                if party:
-                    calls.append(("proxy_left", proxy))
-                calls.append(("proxy_joined", proxy, self.zones[report.zone], report.typical, report.standing, 0))
-            return calls
-        self.check(party.report, report)
-        party.report, party.at = report, now
-        covers = min(now - party.counted, COVERED * self.cycle)
-        if covers >= self.cycle:  # signs of life come more often than sums are worth a call
-            calls = self.sums(proxy, party.base, report, covers)
-            party.base, party.counted = report, now
-        return calls
+                if writer:
+                    events.append(("proxy_left", proxy))
+                events.append(
+                    (
+                        "proxy_joined",
+                        proxy,
+                        self.zones[report.zone],
+                        report.typical_rate,
+                        report.uses_initial_table,
+                        0,
+                    )
+                )
+            return events
+        self.check(writer.report, report)
+        writer.report, writer.received_at = report, now
+        covered = min(now - writer.counted_at, MAX_COVERED_CYCLES * self.cycle)
+        if covered >= self.cycle:  # beats come more often than the sums are worth an event
+            events = self.differences(proxy, writer.base, report, covered)
+            writer.base, writer.counted_at = report, now
+        return events
 
     def check(self, old, new):
+        """Raises `UnusableFileError` where the sums cannot follow from those of the last report."""
         for route in new.calls:
             if route not in self.routes:
-                raise UnusableFileError(f"{route[:40]!r} is no route")
+                raise UnusableFileError(f"{route[:40]!r} is not a route")
         if any(new.calls.get(route, 0) < calls for route, calls in old.calls.items()):
-            raise UnusableFileError("sums of calls that go back within a life")
+            raise UnusableFileError("sums of calls that decrease within a life")
         if any(calls - old.calls.get(route, 0) > SURGE for route, calls in new.calls.items()):
-            raise UnusableFileError("more calls in one report than can be")
-        for backend, (tries, lost, took) in new.met.items():
-            before = old.met.get(backend, (0, 0, 0))
-            if tries < before[0] or lost < before[1] or took < before[2] or lost - before[1] > tries - before[0]:
-                raise UnusableFileError(f"sums of {backend[:40]!r} that go back within a life")
+            raise UnusableFileError("too many calls in one report")
+        for backend, (tries, unanswered, answer_time) in new.attempts.items():
+            before = old.attempts.get(backend, (0, 0, 0))
+            if (
+                tries < before[0]
+                or unanswered < before[1]
+                or answer_time < before[2]
+                or unanswered - before[1] > tries - before[0]
+            ):
+                raise UnusableFileError(f"sums of {backend[:40]!r} that decrease or are inconsistent within a life")
             if tries - before[0] > SURGE:
                 raise UnusableFileError(f"{tries - before[0]} tries at {backend[:40]!r} in one report")
 
-    def sums(self, proxy, old, report, covers):
-        calls = []
+    def differences(self, proxy, old, report, covered):
+        """Events for what has happened between two reports, over `covered` microseconds."""
+        events = []
         if proxy is not None:
             for route, index in self.routes.items():
-                came = report.calls.get(route, 0) - old.calls.get(route, 0)
-                calls.append(("demand_reported", proxy, index, came, covers))
+                calls = report.calls.get(route, 0) - old.calls.get(route, 0)
+                events.append(("demand_reported", proxy, index, calls, covered))
         zone = self.zones[report.zone]
-        for backend, (tries, lost, took) in report.met.items():
-            before = old.met.get(backend, (0, 0, 0))
-            tries, lost, took = tries - before[0], lost - before[1], took - before[2]
-            if tries and backend in self.names.index:
-                calls.append(
+        for backend, (tries, unanswered, answer_time) in report.attempts.items():
+            before = old.attempts.get(backend, (0, 0, 0))
+            tries, unanswered, answer_time = tries - before[0], unanswered - before[1], answer_time - before[2]
+            if tries and backend in self.backend_names.index:
+                events.append(
                     (
                         "attempts_reported",
-                        self.names(backend),
+                        self.backend_names(backend),
                         zone,
                         tries,
-                        lost,
-                        took * 1000 // max(tries - lost, 1),
-                        covers,
+                        unanswered,
+                        answer_time * 1000 // max(tries - unanswered, 1),
+                        covered,
                         report.load.get(backend),
                     )
                 )
-        return calls
+        return events
 
     def silent(self, now):
-        """Planner's calls for those that have not renewed their sign of life, and who they are."""
-        ended = [who for who, party in self.parties.items() if now - party.at > self.patience(party)]
-        calls = []
+        """Forgets writers whose reports have stopped. Returns the planner's events for them, and their names."""
+        ended = [who for who, writer in self.writers.items() if now - writer.received_at > self.allowed_silence(writer)]
+        events = []
         for who in ended:
-            del self.parties[who]
-            proxy = self.known(who)
+            del self.writers[who]
+            proxy = self.proxy_of(who)
             if proxy is not None:
-                calls.append(("proxy_left", proxy))
-        return calls, ended
+                events.append(("proxy_left", proxy))
+        return events, ended
 
     @staticmethod
-    def patience(party):
-        return min(max(MISSED * party.report.every * 1000, LEAST), MOST)
+    def allowed_silence(writer):
+        """Microseconds without a new report after which the writer has left."""
+        return min(max(MISSED_BEATS * writer.report.every * 1000, MIN_SILENCE_US), MAX_SILENCE_US)
--- a/cranecleat/files/ledger.py
+++ b/cranecleat/files/ledger.py
@@ -1,152 +1,170 @@
-"""What is published and what of it is in force: the planner's decisions as files to be written, in an order in which
-every instant is safe, and reports of what is applied as answers to the planner's marks. No I/O, no clock of its own.
-
-A publication is a list of steps, each done before the next: new bodies, then the shared tables, then the orders of
-single proxies, then the removal of bodies that no reader can need. A proxy's orders name the least generation of the
-tables that they go with, which stands by then; tables name bodies that stand by then. What fails is tried again
-whole, under new generations: a step that failed half way may have become visible, and a generation is never used for
-two contents.
+"""Plans what is published through files and tracks what of it is in force: turns the planner's decisions into files, in
+an order that is safe at every instant, and what proxies have applied into acknowledgements. No I/O, no clock.
+
+A publication is a list of steps, each completed before the next: new bodies, then the shared tables, then the orders of
+single proxies, then the removal of bodies that no reader can need any more. A proxy's orders name the oldest generation
+of the tables with which they may be applied, which is in place by then, as are the bodies that the tables name. After a
+failure everything is published again under new generations: a step that failed half way may have become visible, and
+a generation is never used for two contents.
 """
 
-from cranecleat.files.format import Again, Body, Header, Orders, Tables, write_body, write_orders, write_tables
+from cranecleat.files.format import Body, Header, Orders, RetryOrder, Tables, write_body, write_orders, write_tables
 
-KEPT = 64  # publications whose bodies are kept for readers that lag; one that lags more reads the tables anew
-NUMBERS = 1 << 24  # orders to try again in one writer's life
-ABOUT = 8  # orders to try again that one proxy may be given at a time
+KEPT_PUBLICATIONS = 64  # whose bodies are kept for readers that lag; one further behind reads the tables anew
+RETRY_NUMBERS_PER_LIFE = 1 << 24  # retry orders that one run of a writer can number
+MAX_RETRIES_PER_PROXY = 8  # retry orders that one proxy may hold at a time
 
 
 class ProxyState:
-    """One proxy that is served through files."""
+    """One proxy that is served through files.
+
+    bound, retries: route -> table, and its open retry orders.
+    dirty: whether its orders have to be published again.
+    generation, needs: of its orders as published: their generation, and the oldest tables they may be applied with.
+    applied: generations of tables and orders that it has in force.
+    unapplied_since: when the oldest decision that it has not applied was published; None if it has applied all.
+    """
 
     def __init__(self):
         self.bound, self.retries = {}, []
         self.active, self.dirty = True, True
-        self.generation = self.needs = 0  # of its orders as published
-        self.applied = (0, 0)  # generations of tables and orders that it has in force
-        self.told_at = None  # when the oldest thing that it has not applied was published
+        self.generation = self.needs = 0
+        self.applied = (0, 0)
+        self.unapplied_since = None
 
 
 class Ledger:
-    """The planner's `Writer` for proxies served through files, but for what the service does (`watch`, `wake`,
-    `log`)."""
+    """The planner's `Writer` for proxies that are served through files, without `watch`, `set_timer` and `log`, which
+    the service provides.
+
+    names, routes: backends' names and indices; names of the routes.
+    fence, life, generation: of the header last written, see `format.Header`.
+    """
 
     def __init__(self, names, routes, fence, life, generation=0):
-        self.names, self.routes = names, routes  # backends' names; routes' names
+        self.names, self.routes = names, routes
         self.fence, self.life, self.generation = fence, life, generation
-        self.proxies, self.gone = (
-            {},
-            set(),
-        )  # proxies joined; those whose orders have to say that they are served no more
-        self.tables, self.levels, self.out = {}, {}, set()
+        self.proxies = {}  # proxy -> ProxyState
+        self.departed = set()  # proxies whose orders have yet to say that files serve them no more
+        self.tables = {}  # table -> {backend: weight}
+        self.levels = {}  # (table or None for all, route) -> (level, tries)
+        self.withdrawn = set()
         self.published = None  # the tables as last published
-        self.bodies, self.recent = {}, []  # body's name -> its bytes, as they stand; (generation, names) lately
-        self.shared, self.touched = True, set()  # whether tables differ from what stands; tables with other lines
-        self.unsent, self.unacknowledged = (
-            [],
-            [],
-        )  # marks of rounds not yet published; (mark, proxy -> generations) not applied
-        self.numbered = fence * NUMBERS
+        self.bodies = {}  # name of each body in the folder -> its size in bytes
+        self.recent_bodies = []  # (generation of tables, names of their bodies), the latest last
+        self.shared_changed = True  # whether the shared tables differ from those published
+        self.changed_tables = set()
+        self.unpublished_acks = []  # (ack number, proxies concerned) of rounds not yet published
+        self.unacknowledged = []  # (ack number, proxy -> generations that it has yet to apply)
+        self.last_retry_number = fence * RETRY_NUMBERS_PER_LIFE
         self.counters = {"publications": 0, "bytes": 0, "swaps": 0}
 
-    # Who is joined
+    # Which proxies are served
 
     def join(self, proxy):
         state = self.proxies.get(proxy) or ProxyState()
-        again, state = state.retries, ProxyState()
-        state.retries = again  # what it was told to try again stands until it says that it has taken that on
+        retries, state = state.retries, ProxyState()
+        state.retries = retries  # retry orders stay until the proxy reports that it has taken them on
         self.proxies[proxy] = state
-        self.gone.discard(proxy)
+        self.departed.discard(proxy)
 
     def leave(self, proxy):
         if self.proxies.pop(proxy, None):
-            self.gone.add(proxy)
-            for _, who in self.unacknowledged:
-                who.pop(proxy, None)
+            self.departed.add(proxy)
+            for _, awaited in self.unacknowledged:
+                awaited.pop(proxy, None)
 
     # What the planner decides
 
     def set_weight(self, table, backend, weight):
-        lines = self.tables.setdefault(table, {})
-        lines[backend] = weight
+        weights = self.tables.setdefault(table, {})
+        weights[backend] = weight
         if not weight:
-            del lines[backend]
-        self.touched.add(table)
-        self.shared = True
+            del weights[backend]
+        self.changed_tables.add(table)
+        self.shared_changed = True
 
     def bind(self, proxy, table, routes, is_subset=False):
         state = self.proxies.get(proxy)
         if state:
             state.bound.update(dict.fromkeys(routes, table))
             self.tables.setdefault(table, {})
-            self.touched.add(table)
-            self.shared = state.dirty = True
+            self.changed_tables.add(table)
+            self.shared_changed = state.dirty = True
 
-    def withdraw(self, backend, out):
-        (self.out.add if out else self.out.discard)(backend)
-        self.shared = True
+    def withdraw(self, backend, is_withdrawn):
+        (self.withdrawn.add if is_withdrawn else self.withdrawn.discard)(backend)
+        self.shared_changed = True
 
     def set_admission(self, table, routes, level, tries):
         for route in routes:
             self.levels[table, route] = level, tries
-        self.shared = True
+        self.shared_changed = True
 
     def forget(self, backend):
-        """No table names it; its name is free once the planner's round has been published without it."""
-        self.out.discard(backend)
-        self.shared = True
+        """No table names the backend any more. Its index may be used again once this round is published without it."""
+        self.withdrawn.discard(backend)
+        self.shared_changed = True
 
     def request_ack(self, number):
-        """Returns who gets anything of this round. What stands in the shared tables concerns all."""
-        concerned = {p for p, state in self.proxies.items() if self.shared or state.dirty}
+        """Returns the proxies that have to acknowledge this round. A change of the shared tables concerns all of
+        them."""
+        concerned = {p for p, state in self.proxies.items() if self.shared_changed or state.dirty}
         if concerned:
-            self.unsent.append((number, concerned))
+            self.unpublished_acks.append((number, concerned))
         return concerned
 
     def order_retry(self, proxy, call, proof):
-        """Orders one call to be tried again; returns the order's number, or None where the proxy has too many. Whoever
-        orders it holds the proof. A number is never given twice, as each life of a writer has its own."""
+        """Orders one call to be retried. Returns the order's number, or None if the proxy is not served through files
+        or holds too many orders. Whoever orders it has the proof that the call never ran. A number is never used twice,
+        as each life of a writer has a range of its own."""
         state = self.proxies.get(proxy)
-        if state is None or len(state.retries) >= ABOUT:
+        if state is None or len(state.retries) >= MAX_RETRIES_PER_PROXY:
             return None
-        self.numbered += 1
-        state.retries.append(Again(self.numbered, call, proof))
+        self.last_retry_number += 1
+        state.retries.append(RetryOrder(self.last_retry_number, call, proof))
         state.dirty = True
-        return self.numbered
+        return self.last_retry_number
 
     # What is to be written
 
     def has_changes(self):
-        return self.shared or bool(self.gone) or any(state.dirty for state in self.proxies.values())
+        return self.shared_changed or bool(self.departed) or any(state.dirty for state in self.proxies.values())
 
     def steps(self):
-        """What has to be done now, in order: ("body", name, bytes), ("tables", bytes), ("orders", proxy, bytes),
-        ("drop", body's name). Ends with `done` or `failed` of the same publication."""
+        """The steps of a publication, in order: ("body", name, bytes), ("tables", bytes), ("orders", proxy, bytes), and
+        from `publication_done` ("drop", name of a body). Each publication ends with a call of `publication_done` or
+        `publication_failed`."""
         steps, bodies = [], dict(self.published.bodies) if self.published else {}
-        if self.shared:
-            for table in self.touched | (self.tables.keys() - bodies.keys()):
-                data, called = write_body(
-                    Body(tuple(sorted((self.names.ids[b], weight) for b, weight in self.tables[table].items())))
+        if self.shared_changed:
+            for table in self.changed_tables | (self.tables.keys() - bodies.keys()):
+                data, name = write_body(
+                    Body(
+                        tuple(
+                            sorted((self.names.ids[backend], weight) for backend, weight in self.tables[table].items())
+                        )
+                    )
                 )
-                bodies[table] = called
-                if called not in self.bodies:
-                    steps.append(("body", called, data))
+                bodies[table] = name
+                if name not in self.bodies:
+                    steps.append(("body", name, data))
             tables = Tables(
                 self.next_header(self.published.header.generation if self.published else 0),
                 bodies,
                 {(table, self.routes[route]): level for (table, route), level in self.levels.items()},
-                frozenset(self.names.ids[b] for b in self.out),
+                frozenset(self.names.ids[backend] for backend in self.withdrawn),
             )
             steps.append(("tables", write_tables(tables)))
-            self.writing = tables
+            self.pending_tables = tables
         else:
-            self.writing = self.published
-        self.orders = {}
+            self.pending_tables = self.published
+        self.pending_orders = {}
         for proxy, state in self.proxies.items():
             if state.dirty:
-                self.orders[proxy] = self.orders_of(proxy, state, self.writing.header.generation)
-        for proxy in self.gone:
-            self.orders[proxy] = Orders(self.next_header(0), proxy, False, 0, {})
-        steps += [("orders", proxy, write_orders(orders)) for proxy, orders in self.orders.items()]
+                self.pending_orders[proxy] = self.orders_of(proxy, state, self.pending_tables.header.generation)
+        for proxy in self.departed:
+            self.pending_orders[proxy] = Orders(self.next_header(0), proxy, False, 0, {})
+        steps += [("orders", proxy, write_orders(orders)) for proxy, orders in self.pending_orders.items()]
         return steps
 
     def orders_of(self, proxy, state, needs):
@@ -158,81 +176,92 @@
         return Header(self.fence, self.life, self.generation, after)
 
     def step_done(self, step):
-        """One step stands."""
-        kind, *what = step
+        """Records that one step is completed."""
+        kind, *values = step
         if kind == "body":
-            self.bodies[what[0]] = len(what[1])
+            self.bodies[values[0]] = len(values[1])
         if kind != "drop":
-            self.counters["bytes"] += len(what[-1])
+            self.counters["bytes"] += len(values[-1])
             self.counters["swaps"] += 1
 
     def publication_done(self, now):
-        """All of `steps` stands. Returns bodies that may go, as further steps."""
-        self.published, self.shared, self.touched = self.writing, False, set()
-        self.gone.clear()
+        """Records that all of `steps` are completed. Returns further steps, which remove bodies."""
+        self.published, self.shared_changed, self.changed_tables = self.pending_tables, False, set()
+        self.departed.clear()
         self.counters["publications"] += 1
         tables = self.published.header.generation
-        for proxy, orders in self.orders.items():
+        for proxy, orders in self.pending_orders.items():
             state = self.proxies.get(proxy)
             if state:
                 state.generation, state.needs, state.dirty = orders.header.generation, orders.needs, False
-        for mark, concerned in self.unsent:
-            who = {p: (tables, self.proxies[p].generation) for p in concerned if p in self.proxies}
-            self.unacknowledged.append((mark, who))
-            for p in who:
-                self.proxies[p].told_at = self.proxies[p].told_at if self.proxies[p].told_at is not None else now
-        self.unsent = []
-        self.recent = [(g, names) for g, names in self.recent if g != tables][-KEPT:]
-        self.recent.append((tables, frozenset(self.published.bodies.values())))
-        return self.spare()
+        for number, concerned in self.unpublished_acks:
+            awaited = {p: (tables, self.proxies[p].generation) for p in concerned if p in self.proxies}
+            self.unacknowledged.append((number, awaited))
+            for p in awaited:
+                self.proxies[p].unapplied_since = (
+                    self.proxies[p].unapplied_since if self.proxies[p].unapplied_since is not None else now
+                )
+        self.unpublished_acks = []
+        self.recent_bodies = [(generation, names) for generation, names in self.recent_bodies if generation != tables][
+            -KEPT_PUBLICATIONS:
+        ]
+        self.recent_bodies.append((tables, frozenset(self.published.bodies.values())))
+        return self.drop_unneeded_bodies()
 
     def publication_failed(self):
-        """Some step did not work. All that was to be written is written again, under new generations."""
-        self.shared = True
-        for proxy in self.orders:
+        """Records that some step failed. All of the publication is written again, under new generations."""
+        self.shared_changed = True
+        for proxy in self.pending_orders:
             if proxy in self.proxies:
                 self.proxies[proxy].dirty = True
 
-    def spare(self):
-        """Bodies that no table that a reader may still hold names."""
+    def drop_unneeded_bodies(self):
+        """Steps that remove the bodies which no tables that a reader may still hold refer to."""
         oldest = min((state.applied[0] for state in self.proxies.values()), default=self.published.header.generation)
-        self.recent = [
-            one for i, one in enumerate(self.recent) if i + 1 == len(self.recent) or self.recent[i + 1][0] > oldest
+        self.recent_bodies = [
+            recent
+            for i, recent in enumerate(self.recent_bodies)
+            if i + 1 == len(self.recent_bodies) or self.recent_bodies[i + 1][0] > oldest
         ]
-        needed = frozenset().union(*(names for _, names in self.recent))
-        spare = sorted(self.bodies.keys() - needed)
-        for called in spare:
-            del self.bodies[called]
-        return [("drop", called) for called in spare]
+        needed = frozenset().union(*(names for _, names in self.recent_bodies))
+        unneeded = sorted(self.bodies.keys() - needed)
+        for name in unneeded:
+            del self.bodies[name]
+        return [("drop", name) for name in unneeded]
 
-    # What comes back
+    # What proxies report
 
-    def acknowledge(self, proxy, tables, orders, again, now):
-        """What a proxy says that it has in force. Returns the marks that it has answered thereby, the oldest first."""
+    def acknowledge(self, proxy, tables, orders, last_retry, now):
+        """Records what a proxy reports to have in force. Returns the ack numbers that it thereby acknowledges, the
+        oldest first."""
         state = self.proxies.get(proxy)
         if state is None:
             return []
         if tables > self.generation or orders > self.generation:
-            return []  # of another writer: it has nothing of ours yet
+            return []  # generations of another writer: the proxy holds nothing of this one yet
         state.applied = max(state.applied[0], tables), max(state.applied[1], orders)
-        if state.retries and again >= state.retries[0].number:
-            state.retries = [one for one in state.retries if one.number > again]
+        if state.retries and last_retry >= state.retries[0].number:
+            state.retries = [retry for retry in state.retries if retry.number > last_retry]
             state.dirty = True
-        answered, open_ones = [], False
-        for mark, who in self.unacknowledged:
-            if proxy in who:
-                if state.applied[0] >= who[proxy][0] and state.applied[1] >= who[proxy][1]:
-                    del who[proxy]
-                    answered.append(mark)
+        acknowledged, some_left = [], False
+        for number, awaited in self.unacknowledged:
+            if proxy in awaited:
+                if state.applied[0] >= awaited[proxy][0] and state.applied[1] >= awaited[proxy][1]:
+                    del awaited[proxy]
+                    acknowledged.append(number)
                 else:
-                    open_ones = True
-        self.unacknowledged = [(mark, who) for mark, who in self.unacknowledged if who]
-        if not open_ones:
-            state.told_at = None
-        elif answered:
-            state.told_at = now
-        return answered
+                    some_left = True
+        self.unacknowledged = [(number, awaited) for number, awaited in self.unacknowledged if awaited]
+        if not some_left:
+            state.unapplied_since = None
+        elif acknowledged:
+            state.unapplied_since = now
+        return acknowledged
 
     def lags(self, now):
-        """Microseconds for which each proxy has had something that it has not applied; 0: nothing."""
-        return {p: now - state.told_at if state.told_at is not None else 0 for p, state in self.proxies.items()}
+        """Proxy -> microseconds for which it has had some decision that it has not applied; 0 if it has applied
+        all."""
+        return {
+            p: now - state.unapplied_since if state.unapplied_since is not None else 0
+            for p, state in self.proxies.items()
+        }
--- a/tests/files_harness.py
+++ b/tests/files_harness.py
@@ -4,74 +4,78 @@
 import os
 
 from cranecleat.decoding import IndexMap
-from cranecleat.files.disk import Calls, Disk, FolderLock, apply_step
+from cranecleat.files.disk import Disk, FolderLock, SystemCalls, apply_step
 from cranecleat.files.follow import Follower
 from cranecleat.files.format import Report
 from cranecleat.files.ledger import Ledger
 from cranecleat.files.recover import scan_folder
 
 ROUTES = ("read", "new-address")
-SECOND = 1_000_000
+SECOND = 1_000_000  # microseconds
 
 
 class Killed(BaseException):
     """The writer's process ends here."""
 
 
-class Counted:
-    """System calls, each counted before it is made; `at(n)` is asked before the n-th. `only`: which count."""
+class CountedCalls:
+    """System calls that are counted: `before(n, name)` is called before the n-th is made. `only`: the names of the
+    calls that count."""
 
     CHANGING = ("open", "write", "fsync", "close", "rename", "unlink")
 
-    def __init__(self, at=lambda n, name: None, only=CHANGING):
-        self.count, self.ask, self.only = 0, at, only
+    def __init__(self, before=lambda n, name: None, only=CHANGING):
+        self.count, self.before, self.only = 0, before, only
         for name in ("open", "write", "fsync", "close", "rename", "unlink", "read", "fstat", "scandir", "mkdir"):
-            setattr(self, name, self.made(name, getattr(Calls, name)))
+            setattr(self, name, self.wrap(name, getattr(SystemCalls, name)))
 
-    def made(self, name, call):
+    def wrap(self, name, system_call):
         def counted(*values):
             if name in self.only:
                 self.count += 1
-                self.ask(self.count, name)
-            return call(*values)
+                self.before(self.count, name)
+            return system_call(*values)
 
         return counted
 
 
 def kill_at(k):
-    def at(n, name):
+    """Kills the writer before the k-th call."""
+
+    def before(n, name):
         if n == k:
             raise Killed
 
-    return at
+    return before
 
 
 def fail_at(k, code):
-    """From the k-th call on all that could need the disk fails, once each time it is asked."""
+    """Fails the k-th call, if it is one that the disk can fail."""
 
-    def at(n, name):
+    def before(n, name):
         if n == k and name in ("open", "write", "fsync", "rename"):
             raise OSError(code, os.strerror(code))
 
-    return at
+    return before
 
 
 class Writer:
-    """What the service's front does, without the service: two tables, some proxies, a state that is told by its
-    step."""
+    """Publishes as `FilesTransport` does, without the service: two tables, some proxies, and states that can be told
+    apart by their number."""
 
-    def __init__(self, folder, calls=Calls, proxies=3, unix=1000, sync="all"):
-        self.disk = Disk(folder, sync, calls)
+    def __init__(self, folder, system_calls=SystemCalls, proxies=3, unix_time=1000, sync="all"):
+        self.disk = Disk(folder, sync, system_calls)
         self.disk.prepare()
-        self.lock = FolderLock(self.disk, "n0", unix)
+        self.lock = FolderLock(self.disk, "n0", unix_time)
         found = scan_folder(self.disk, sweep=True)
         self.found = found
         self.names = IndexMap()
-        self.ledger = Ledger(self.names, ROUTES, self.lock.fence, unix, found.generation)
+        self.ledger = Ledger(self.names, ROUTES, self.lock.fence, unix_time, found.generation)
         self.ledger.bodies = found.bodies
         self.proxies, self.now = proxies, 0
 
     def begin(self):
+        """Joins the proxies and binds them to the tables."""
         for b in range(4):
             self.names(f"s-{b}")
         for route in range(2):
@@ -84,7 +88,7 @@
         return self
 
     def state(self, n):
-        """The n-th state: weights that name it in both tables, and one backend shut out, all of which go together."""
+        """Sets the n-th state: the weights in both tables, the withdrawn backend and the level all follow from n."""
         for route in range(2):
             for b in range(4):
                 self.ledger.set_weight(route, b, float(n * 10 + b + 1))
@@ -105,22 +109,25 @@
         self.lock.release()
 
 
-def told(follower):
-    """What one proxy has in force as the number of its state; fails where it is a mixture of two."""
-    force, lines = follower.view.in_force, [follower.view.in_force.weights.get(route) for route in ROUTES]
-    if not force.weights:
+def state_in_force(follower):
+    """The number of the state that one proxy has in force; fails if it is a mixture of two states."""
+    in_force, weights = follower.view.in_force, [follower.view.in_force.weights.get(route) for route in ROUTES]
+    if not in_force.weights:
         return None
-    assert lines[0] == lines[1], f"mixed tables: {lines}"
-    first = lines[0]["s-0"]
-    assert lines[0] == {f"s-{b}": first + b for b in range(4)}, f"torn: {lines[0]}"
+    assert weights[0] == weights[1], f"mixed tables: {weights}"
+    first = weights[0]["s-0"]
+    assert weights[0] == {f"s-{b}": first + b for b in range(4)}, f"torn: {weights[0]}"
     n = round((first - 1) / 10)
-    if force.levels:
-        assert force.withdrawn == {f"s-{n % 4}"} and force.levels["read"] == (n / 1000, 1), f"mixed: {n} {force}"
+    if in_force.levels:
+        assert in_force.withdrawn == {f"s-{n % 4}"} and in_force.levels["read"] == (
+            n / 1000,
+            1,
+        ), f"mixed: {n} {in_force}"
     return n
 
 
-def follower(folder, proxy=0, calls=Calls, kept=None):
-    return Follower(folder, proxy, kept, calls)
+def follower(folder, proxy=0, system_calls=SystemCalls, state_file=None):
+    return Follower(folder, proxy, state_file, system_calls)
 
 
 def report(who="p0", life=1, beat=1, **more):
--- a/tests/test_files_daemon.py
+++ b/tests/test_files_daemon.py
@@ -1,4 +1,4 @@
-"""The running coordinator with the files transport; each test waits for events, none for time to pass."""
+"""The running coordinator with the files transport. Tests wait for events, not for fixed times."""
 
 import errno
 import json
@@ -19,7 +19,7 @@
 from cranecleat.files.follow import Follower
 from cranecleat.files.front import FilesTransport
 from cranecleat.operator.file import FilesSettings
-from files_harness import Counted, fail_at, report
+from files_harness import CountedCalls, fail_at, report
 from planner_harness import CoordinatorProcess, assert_matches_trace, http_chunk
 
 ROOT = Path(__file__).parent.parent
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def place(tmp_path, monkeypatch):
-    """The operator's file and its folder."""
+    """A directory with an operator's file, which names the folder `d` in it."""
     lines = ('folder "d"', 'sync "none"', 'poll "20ms"', 'lose "200ms"', 'hold "400ms"')
     (tmp_path / "o.kdl").write_text("\n".join(["files {", *lines, "}"]) + "\n")
     monkeypatch.setenv("CRANECLEAT_OPERATOR", str(tmp_path / "o.kdl"))
@@ -36,33 +36,33 @@
 
 
 class Proxy:
-    """A proxy on files: follows its orders and renews its report, in a thread of the test."""
+    """A proxy served through files, in a thread of the test: follows its orders and renews its report."""
 
-    def __init__(self, folder, number, zone="a", again=None):
-        self.follower, self.number = Follower(folder, number, again), number
+    def __init__(self, folder, number, zone="a", state_file=None):
+        self.follower, self.number = Follower(folder, number, state_file), number
         self.report = report(
-            f"p{number}", life=time.time_ns() // 1000, typical=6.5, standing=True, every=200, zone=zone
+            f"p{number}", life=time.time_ns() // 1000, typical_rate=6.5, uses_initial_table=True, every=200, zone=zone
         )
-        self.stopped, self.still = threading.Event(), threading.Event()
-        self.acted = []
+        self.stopped, self.paused = threading.Event(), threading.Event()
+        self.retried = []
         self.thread = threading.Thread(target=self.run, daemon=True)
         self.thread.start()
 
     def run(self):
         while not self.stopped.wait(0.02):
-            if not self.still.is_set():
+            if not self.paused.is_set():
                 try:
-                    self.acted += [order.call for order in self.follower.poll()]
+                    self.retried += [retry.call for retry in self.follower.poll()]
                     self.report.beat += 1
                     self.report.calls = {"read": self.report.beat // 2}
                     self.follower.report(self.report)
                 except OSError:
                     pass
 
-    def until(self, holds):
+    def wait_until(self, condition):
         deadline = time.monotonic() + WAIT
-        while not holds(self.follower.view):
-            assert time.monotonic() < deadline, f"never: {self.follower.view.in_force} {self.follower.wrong}"
+        while not condition(self.follower.view):
+            assert time.monotonic() < deadline, f"never: {self.follower.view.in_force} {self.follower.error}"
             time.sleep(0.01)
 
     def stop(self):
@@ -70,22 +70,22 @@
         self.thread.join()
 
 
-def serves(view):
+def is_served(view):
     return view.in_force.active and set(view.in_force.weights) == {"read", "find"}
 
 
-def test_a_proxy_through_files_is_bound_hears_drains_and_survives_a_kill(place):
+def test_a_proxy_through_files_is_bound_gets_withdrawals_and_survives_a_killed_coordinator(place):
     with CoordinatorProcess(place).start() as service:
         text = [re.sub(r"fence=\d+", "fence=N", service.wait_for_log("files_open"))]
         watch, _ = service.accept_watch(service.list_backends(42, s_1="active", s_2="active"))
         proxy = Proxy(place / "d", 3)
         try:
-            proxy.until(serves)
+            proxy.wait_until(is_served)
             text += [service.wait_for_log("files_serves"), f"lines: {sorted(proxy.follower.view.pick_from('read'))}"]
             watch.sendall(http_chunk(service.list_backends(43, full=False, s_1="leaving")))
-            proxy.until(lambda view: "s-1" in view.in_force.withdrawn)
-            text.append(f"s-1 drains: {sorted(proxy.follower.view.pick_from('read'))}")
-            proxy.until(lambda view: view.in_force.applied[0] > 0)
+            proxy.wait_until(lambda view: "s-1" in view.in_force.withdrawn)
+            text.append(f"s-1 is withdrawn: {sorted(proxy.follower.view.pick_from('read'))}")
+            proxy.wait_until(lambda view: view.in_force.applied[0] > 0)
             service.process.kill()
             service.wait_for_exit()
             assert sorted(proxy.follower.view.pick_from("read")) == ["s-2"]
@@ -93,19 +93,19 @@
             service.configuration["known"] = service.list_backends(43, s_1="leaving", s_2="active")
             service.start()
             text.append(re.sub(r"(fence|generation|bodies)=\d+", r"\1=N", service.wait_for_log("files_open")))
-            proxy.until(lambda view: view.fence > fence and serves(view))
+            proxy.wait_until(lambda view: view.fence > fence and is_served(view))
             text.append(f"after a kill: {sorted(proxy.follower.view.pick_from('read'))}")
-            proxy.still.set()
+            proxy.paused.set()
             text.append(service.wait_for_log("files_silent"))
-            proxy.still.clear()
-            proxy.until(lambda view: view.in_force.active)
+            proxy.paused.clear()
+            proxy.wait_until(lambda view: view.in_force.active)
             text.append(service.wait_for_log("files_serves.*by=files"))
         finally:
             proxy.stop()
     assert_matches_trace("files_daemon", [line.replace(str(place), "") for line in text])
 
 
-def test_a_proxy_goes_over_to_files_when_its_stream_ends_and_back_when_one_has_stood(place):
+def test_a_proxy_switches_to_files_when_its_stream_ends_and_back_when_one_has_stayed_open(place):
     with CoordinatorProcess(place).start() as service:
         watch, _ = service.accept_watch(service.list_backends(42, s_1="active", s_2="active"))
         stream, proxy = service.connect("attach node=3 locality=a w=6.5 cold=1"), Proxy(place / "d", 3)
@@ -114,17 +114,17 @@
             assert not proxy.follower.view.in_force.active
             stream.close()
             text = [service.wait_for_log("connection_ended.*proxy"), service.wait_for_log("files_serves.*by=files")]
-            proxy.until(serves)
+            proxy.wait_until(is_served)
             watch.sendall(http_chunk(service.list_backends(43, full=False, s_2="leaving")))
-            proxy.until(lambda view: "s-2" in view.in_force.withdrawn)
+            proxy.wait_until(lambda view: "s-2" in view.in_force.withdrawn)
             stream = service.connect("attach node=3 locality=a w=6.5 cold=0")
             text.append(service.wait_for_log("files_stream_waits"))
             text.append(service.wait_for_log("files_serves.*by=stream"))
             orders = service.read_until(stream, rb"stamp=(\d+)\r\n")
-            text.append(f"what drained meanwhile: {'drop=s-2' in orders or 's-2:' not in orders}")
+            text.append(f"withdrawn meanwhile: {'drop=s-2' in orders or 's-2:' not in orders}")
             assert "replace=1" in orders
-            proxy.until(lambda view: not view.in_force.active)
-            text.append("no proxy obeys both: its orders say active 0")
+            proxy.wait_until(lambda view: not view.in_force.active)
+            text.append("its orders in the folder say active 0, so it follows its stream only")
             assert service.responds()
         finally:
             proxy.stop()
@@ -140,21 +140,21 @@
     assert code == 2 and re.fullmatch(r"cranecleat: \S+/d is held by another coordinator: n0, fence \d+\n", errors)
 
 
-def test_a_folder_that_cannot_be_written_in_service_is_said_and_made_good(place):
+def test_a_folder_that_cannot_be_written_is_logged_and_written_once_it_can_be(place):
     with CoordinatorProcess(place).start() as service:
         watch, _ = service.accept_watch(service.list_backends(42, s_1="active", s_2="active"))
         proxy = Proxy(place / "d", 3)
         try:
-            proxy.until(serves)
+            proxy.wait_until(is_served)
             bodies = place / "d" / "bodies"
             bodies.rename(place / "kept")
             bodies.write_text("in the way")
             watch.sendall(http_chunk(service.list_backends(43, full=False, s_3="active")))
             text = [service.wait_for_log("files_unwritten")]
-            assert service.responds() and serves(proxy.follower.view)
+            assert service.responds() and is_served(proxy.follower.view)
             bodies.unlink()
             (place / "kept").rename(bodies)
-            proxy.until(lambda view: "s-3" in view.pick_from("read"))
+            proxy.wait_until(lambda view: "s-3" in view.pick_from("read"))
             (place / "d" / "back" / "p1").symlink_to("/etc/hostname")
             text.append(service.wait_for_log("files_spoilt"))
         finally:
@@ -162,12 +162,12 @@
     assert_matches_trace("files_made_good", [re.sub(r"count=\d+", "count=N", line) for line in text])
 
 
-def test_one_that_is_fenced_gives_its_proxies_back_to_their_streams(place):
+def test_a_fenced_coordinator_returns_its_proxies_to_their_streams(place):
     with CoordinatorProcess(place).start() as service:
         watch, _ = service.accept_watch(service.list_backends(42, s_1="active"))
         proxy = Proxy(place / "d", 3)
         try:
-            proxy.until(serves)
+            proxy.wait_until(is_served)
             disk = Disk(place / "d", "none")
             disk.replace(write_owner(proxy.follower.view.fence + 10, 1, "n9"), OWNER)
             watch.sendall(http_chunk(service.list_backends(43, full=False, s_2="active")))
@@ -180,18 +180,18 @@
 
 
 @pytest.mark.parametrize("code", [errno.EROFS, errno.ENOSPC, errno.EACCES])
-def test_a_folder_that_cannot_be_written_at_the_start_is_one_clear_line(tmp_path, code):
+def test_a_folder_that_cannot_be_written_at_the_start_is_reported_in_one_line(tmp_path, code):
     coordinator = SimpleNamespace(configuration=SimpleNamespace(name="n0"))
-    with pytest.raises(MalformedError, match="`folder` in the operator's file names it") as wrong:
+    with pytest.raises(MalformedError, match="`folder` in the operator's file names it") as error:
         FilesTransport(
-            coordinator, FilesSettings(tmp_path / "d", "none", 1, 1, 1), Counted(fail_at(1, code), only=("open",))
+            coordinator, FilesSettings(tmp_path / "d", "none", 1, 1, 1), CountedCalls(fail_at(1, code), only=("open",))
         )
-    assert os.strerror(code) in str(wrong.value)
+    assert os.strerror(code) in str(error.value)
 
 
-def test_the_commands_read_a_folder_that_is_in_use(place):
+def test_the_commands_read_a_folder_in_use(place):
     def command(*words):
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "cranecleat", "files", *words],
             cwd=ROOT,
             capture_output=True,
@@ -199,26 +199,26 @@
             timeout=60,
             env={**os.environ, "PYTHONPATH": str(ROOT)},
         )
-        return done.returncode, done.stdout + done.stderr
+        return completed.returncode, completed.stdout + completed.stderr
 
     folder = str(place / "d")
     with CoordinatorProcess(place).start() as service:
         service.accept_watch(service.list_backends(42, s_1="active"))
         proxy = Proxy(place / "d", 3)
         try:
-            proxy.until(serves)
+            proxy.wait_until(is_served)
             text = [str(command("check", folder)[0]), command("show", folder)[1]]
-            told = json.loads(command("show", folder, "--json")[1])
-            assert told["proxies"][0]["proxy"] == 3
+            shown = json.loads(command("show", folder, "--json")[1])
+            assert shown["proxies"][0]["proxy"] == 3
             followed = command("follow", folder, "3", "--seconds", "0.3")[1].split("\n")[0]
             text.append(str(sorted(json.loads(followed)["lines"])))
             (place / "d" / "orders" / "9").write_text("x")
-            code, out = command("check", folder)
-            text += [str(code), out, command("check", folder + "x")[1]]
+            code, output = command("check", folder)
+            text += [str(code), output, command("check", folder + "x")[1]]
         finally:
             proxy.stop()
         service.process.send_signal(signal.SIGTERM)
         assert service.wait_for_exit()[0] == 0
-    shown = "\n".join(text).replace(folder, "HERE")
-    shown = re.sub(r"(fence|life|generation|s-1|yes +\d+ +|yes +) ?\d+(\.\d+)?", r"\1 N", shown)
-    assert_matches_trace("files_commands", [re.sub(r"yes.*?find", "yes ... find", line) for line in shown.split("\n")])
+    masked = "\n".join(text).replace(folder, "HERE")
+    masked = re.sub(r"(fence|life|generation|s-1|yes +\d+ +|yes +) ?\d+(\.\d+)?", r"\1 N", masked)
+    assert_matches_trace("files_commands", [re.sub(r"yes.*?find", "yes ... find", line) for line in masked.split("\n")])
