--- a/cranecleat/__main__.py
+++ b/cranecleat/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one coordinator; with words behind it, the command line."""
+"""Starts one coordinator, or with arguments the command line."""
 
 import sys
 
--- a/cranecleat/protocol/__init__.py
+++ b/cranecleat/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on the wire: parsers, encoders and the connections that carry them."""
+"""The wire protocols: parsers, encoders and the connections that carry them."""
--- a/cranecleat/protocol/connections.py
+++ b/cranecleat/protocol/connections.py
@@ -1,4 +1,4 @@
-"""Connections as objects with callbacks: strangers, proxies and collectors that dial in."""
+"""Connections as asyncio protocols: the listener, and the connections that proxies and collectors open."""
 
 import asyncio
 import errno
@@ -7,62 +7,69 @@
 from cranecleat.decoding import US_PER_SECOND
 from cranecleat.memory.pool import PoolExhaustedError, ReceiveBuffer
 from cranecleat.protocol import lines
-from cranecleat.protocol.limits import AT_ONCE, BACKLOG, BUFFER, MESSAGE, PAUSE, UNREAD
+from cranecleat.protocol.limits import (
+    ACCEPT_RETRY_US,
+    ACCEPTS_PER_ITERATION,
+    BUFFER_BYTES,
+    LISTEN_BACKLOG,
+    MAX_MESSAGE_BYTES,
+    MAX_UNREAD_BYTES,
+)
 from cranecleat.protocol.reasons import InvalidMessageError, ProtocolError, Reason
 
-NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class Listener:
-    """Takes who dials in, a few a turn: hundreds at once neither hold the loop up nor use up the descriptors before
-    one of them can be ended."""
+    """Accepts connections, a few per iteration of the loop. When hundreds arrive at once they neither block the loop
+    nor use up the descriptors before one of them can be ended."""
 
-    def __init__(self, coordinator, where):
+    def __init__(self, coordinator, address):
         self.coordinator, self.loop = coordinator, asyncio.get_running_loop()
-        self.coming = set()  # those that were taken and have no protocol yet
-        family = socket.AF_INET6 if ":" in where[0] else socket.AF_INET
-        self.socket = socket.create_server(where, family=family, backlog=BACKLOG)
+        self.pending = set()  # tasks of accepted connections that have no protocol object yet
+        family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+        self.socket = socket.create_server(address, family=family, backlog=LISTEN_BACKLOG)
         self.socket.setblocking(False)
-        self.open()
+        self.resume()
 
-    def open(self):
+    def resume(self):
         if self.socket.fileno() >= 0:
-            self.loop.add_reader(self.socket, self.take)
+            self.loop.add_reader(self.socket, self.accept_connections)
 
-    def take(self):
+    def accept_connections(self):
         try:
-            for _ in range(AT_ONCE):
-                taken, _ = self.socket.accept()
-                coming = self.loop.create_task(self.loop.connect_accepted_socket(self.coordinator.accept, taken))
-                self.coming.add(coming)
-                coming.add_done_callback(self.coming.discard)
-        except OSError as failure:  # nobody waits any more, or who waited has gone
-            if failure.errno in NO_ROOM and not self.coordinator.drop_stranger(failure.strerror):
+            for _ in range(ACCEPTS_PER_ITERATION):
+                accepted, _ = self.socket.accept()
+                task = self.loop.create_task(self.loop.connect_accepted_socket(self.coordinator.accept, accepted))
+                self.pending.add(task)
+                task.add_done_callback(self.pending.discard)
+        except OSError as failure:  # also when no connection is waiting, or the waiting one has been closed
+            if failure.errno in OUT_OF_RESOURCES and not self.coordinator.drop_unidentified(failure.strerror):
                 self.coordinator.log_aggregated("no_descriptor", says=failure.strerror)
-                self.loop.remove_reader(self.socket)  # it would be called without end
-                self.coordinator.clock.call_at(self.coordinator.clock.now() + PAUSE, self.open)
+                self.loop.remove_reader(self.socket)  # the loop would call it again and again without a pause
+                self.coordinator.clock.call_at(self.coordinator.clock.now() + ACCEPT_RETRY_US, self.resume)
 
     def close(self):
         self.loop.remove_reader(self.socket)
         self.socket.close()
 
-    async def settle(self):
-        """Until whoever was taken has a connection, which can be ended like any other."""
-        await asyncio.gather(*self.coming, return_exceptions=True)
+    async def wait_for_pending(self):
+        """Waits until each accepted connection has its protocol object, and can be ended like any other."""
+        await asyncio.gather(*self.pending, return_exceptions=True)
 
 
 class Connection(asyncio.BufferedProtocol):
-    """Reads into pooled buffers and ends with one log line. Subclasses use what was read."""
+    """Receives into pooled buffers, and writes one log line when it ends. Subclasses implement `consume`."""
 
-    most = MESSAGE + 2 * BUFFER  # unread bytes
-    end_mark = None  # without it in what has just come there is nothing new to use
+    max_buffered_bytes = MAX_MESSAGE_BYTES + 2 * BUFFER_BYTES  # received bytes that are not consumed yet
+    terminator = None  # if set, `consume` is called only when newly received data contains it
 
     def __init__(self, coordinator):
-        self.coordinator, self.half, self.transport = coordinator, ReceiveBuffer(coordinator.pool), None
-        self.reason = self.detail = None
-        self.spoilt = 0  # messages that could not be used
-        self.opened = coordinator.clock.now()
-        self.heard = self.opened  # when it last said something
+        self.coordinator, self.receive_buffer, self.transport = coordinator, ReceiveBuffer(coordinator.pool), None
+        self.reason = self.detail = None  # why it has ended
+        self.invalid_messages = 0
+        self.opened_at = coordinator.clock.now()
+        self.last_received_at = self.opened_at
 
     def connection_made(self, transport):
         self.transport = transport
@@ -72,158 +79,161 @@
 
     def get_buffer(self, hint):
         try:
-            return self.half.writable()
+            return self.receive_buffer.writable()
         except PoolExhaustedError:
-            if self.coordinator.free_buffers(self):
-                return self.half.writable()
-            return bytearray(BUFFER)  # it has been ended itself
+            if self.coordinator.reclaim_buffers(self):
+                return self.receive_buffer.writable()
+            return bytearray(BUFFER_BYTES)  # this connection itself has been ended; its data is discarded
 
     def buffer_updated(self, count):
         if self.reason:
             return
-        self.half.filled += count
-        self.heard = self.coordinator.clock.now()
+        self.receive_buffer.filled += count
+        self.last_received_at = self.coordinator.clock.now()
         try:
-            if self.end_mark is None or self.end_mark in self.half.last_received(count):
-                data = self.half.unread()
-                used = self.use(data)
+            if self.terminator is None or self.terminator in self.receive_buffer.last_received(count):
+                data = self.receive_buffer.unread()
+                used = self.consume(data)
                 if self.reason:
                     return
-                self.half.retain(data[used:])
-            self.check()
-            if self.half.filled > self.most:
-                raise ProtocolError(Reason.TOO_LONG, f"{self.half.filled} bytes without an end")
-        except ProtocolError as wrong:
-            self.end(wrong.reason, str(wrong))
+                self.receive_buffer.retain(data[used:])
+            self.check_incomplete()
+            if self.receive_buffer.filled > self.max_buffered_bytes:
+                raise ProtocolError(Reason.TOO_LONG, f"{self.receive_buffer.filled} bytes without an end")
+        except ProtocolError as error:
+            self.end(error.reason, str(error))
 
-    def check(self):
-        """Raises where what is half read can come to nothing."""
+    def check_incomplete(self):
+        """Raises ProtocolError if the incomplete message in the buffer cannot become a valid one."""
 
     def write(self, message):
-        """To who reads: a party that leaves too much unread is given up, as it would give us up."""
+        """Sends a message. Ends the connection when its peer has left too much unread, as a peer would do to us."""
         if self.reason:
             return
         self.transport.write(message)
-        if self.transport.get_write_buffer_size() > UNREAD:
+        if self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
             self.end(Reason.UNREAD, f"{self.transport.get_write_buffer_size()} bytes")
 
     def end(self, reason, detail=None):
-        """Ends it from our side; the first reason stands. What it took up is free at once."""
+        """Ends the connection from this side and frees its resources at once. The first reason counts."""
         if self.reason is None:
             self.reason, self.detail = reason, detail
             self.release()
             self.transport.abort()
 
     def eof_received(self):
-        """The other side has ended, and what it left unread is owed to nobody: the loop would keep the connection, and
-        a proxy joined, until that was read."""
+        """The peer has closed its side. What it has not read is discarded: the loop would otherwise keep the
+        connection open, and its proxy joined, until all of it was read."""
         self.transport.abort()
 
     def release(self):
-        self.half.retain(b"")
+        self.receive_buffer.retain(b"")
         self.coordinator.connections.discard(self)
 
     def connection_lost(self, failure):
         if self.reason is None:
             self.reason, self.detail = (Reason.RESET, str(failure)) if failure else (Reason.CLOSED, None)
         self.release()
-        lasted = round((self.coordinator.clock.now() - self.opened) / US_PER_SECOND, 3)
+        duration = round((self.coordinator.clock.now() - self.opened_at) / US_PER_SECOND, 3)
         self.coordinator.log.info(
             "connection_ended",
             code=self.reason.value,
-            **self.who(),
-            seconds=lasted,
-            spoilt=self.spoilt or None,
+            **self.log_identity(),
+            seconds=duration,
+            spoilt=self.invalid_messages or None,
             detail=self.detail,
         )
 
 
 class Incoming(Connection):
-    """Whoever dials in. A stranger until it says what it is; then a proxy's stream or a collector."""
+    """A connection to the coordinator's address. It is unidentified until its first attach or telemetry message, and
+    then a proxy's stream or a collector."""
 
-    end_mark = lines.END[-1:]
+    terminator = lines.CRLF[-1:]
 
     def __init__(self, coordinator):
         super().__init__(coordinator)
-        self.proxy, self.use_message = None, self.greet
+        self.proxy, self.handle_message = None, self.identify
 
     @property
-    def stranger(self):
-        return self.use_message == self.greet
+    def is_unidentified(self):
+        return self.handle_message == self.identify
 
-    def who(self):
+    def log_identity(self):
         if self.proxy is not None:
             return {"who": "proxy", "proxy": self.proxy}
-        return {"who": "stranger" if self.stranger else "collector"}
+        return {"who": "stranger" if self.is_unidentified else "collector"}
 
     @property
-    def most(self):
-        return BUFFER - 1 if self.stranger else super().most
+    def max_buffered_bytes(self):
+        return BUFFER_BYTES - 1 if self.is_unidentified else super().max_buffered_bytes
 
     def connection_made(self, transport):
         super().connection_made(transport)
         if not self.reason:
-            self.coordinator.came(self)
+            self.coordinator.add_unidentified(self)
 
     def release(self):
         super().release()
-        self.coordinator.strangers.pop(self, None)
+        self.coordinator.unidentified.pop(self, None)
         self.coordinator.collectors.discard(self)
 
     def connection_lost(self, failure):
         super().connection_lost(failure)
-        self.coordinator.lost(self)
+        self.coordinator.connection_closed(self)
 
-    def use(self, data):
-        found, used = lines.split_lines(data)
-        for line in found:
-            if len(line) > MESSAGE:
+    def consume(self, data):
+        """Handles all complete messages in `data`; returns the number of bytes that they take."""
+        complete, used = lines.split_lines(data)
+        for line in complete:
+            if len(line) > MAX_MESSAGE_BYTES:
                 raise ProtocolError(Reason.TOO_LONG, f"a message of {len(line)} bytes")
             try:
                 kind, values = lines.parse_line(line)
                 if kind == "hb":
                     self.write(b"hb_ok\r\n")
                 else:
-                    self.use_message(lines.Message(kind, values))
-            except InvalidMessageError as wrong:
-                if self.stranger:
+                    self.handle_message(lines.Message(kind, values))
+            except InvalidMessageError as error:
+                if self.is_unidentified:
                     raise
-                self.spoilt += 1
+                self.invalid_messages += 1
                 self.coordinator.log_aggregated(
-                    "spoilt", who=self.who()["who"], code=wrong.reason.value, detail=str(wrong)
+                    "spoilt", who=self.log_identity()["who"], code=error.reason.value, detail=str(error)
                 )
             if self.reason:
                 break
         return used
 
-    def check(self):
-        lines.check_prefix(self.half.peek(lines.TELLING))
-
-    def greet(self, words):
-        if words.kind == "telemetry":
-            self.coordinator.reader.telemetry(words)
-            self.use_message = self.collect
-            self.coordinator.collects(self)
-        elif words.kind == "attach":
-            number, zone, typical, standing = self.coordinator.reader.attach(words)
-            self.proxy, self.use_message = number, self.stream
-            self.coordinator.joined(self, zone, typical, standing)
+    def check_incomplete(self):
+        lines.check_prefix(self.receive_buffer.peek(lines.PREFIX_BYTES))
+
+    def identify(self, message):
+        """The first message other than a heartbeat says what the peer is."""
+        if message.kind == "telemetry":
+            self.coordinator.decoder.telemetry(message)
+            self.handle_message = self.handle_collector_message
+            self.coordinator.add_collector(self)
+        elif message.kind == "attach":
+            proxy, zone, typical_rate, uses_initial_table = self.coordinator.decoder.attach(message)
+            self.proxy, self.handle_message = proxy, self.handle_stream_message
+            self.coordinator.stream_attached(self, zone, typical_rate, uses_initial_table)
         else:
-            raise ProtocolError(Reason.OUT_OF_PLACE, f"{words.kind} before it said what it is")
+            raise ProtocolError(Reason.OUT_OF_PLACE, f"{message.kind} before attach or telemetry")
 
-    def collect(self, words):
-        if words.kind == "telemetry":
-            self.coordinator.reader.telemetry(words)
-        elif words.kind in ("client_stats", "upstream_stats"):
-            self.coordinator.queue_event(getattr(self.coordinator.reader, words.kind)(words))
+    def handle_collector_message(self, message):
+        if message.kind == "telemetry":
+            self.coordinator.decoder.telemetry(message)
+        elif message.kind in ("client_stats", "upstream_stats"):
+            self.coordinator.queue_event(getattr(self.coordinator.decoder, message.kind)(message))
         else:
-            raise InvalidMessageError(Reason.OUT_OF_PLACE, f"{words.kind} from a collector")
-
-    def stream(self, words):
-        if words.kind not in ("done", "client_stats"):
-            raise InvalidMessageError(Reason.OUT_OF_PLACE, f"{words.kind} on a stream")
-        if self.coordinator.reader.proxy(words) != self.proxy:
-            raise InvalidMessageError(Reason.OUT_OF_PLACE, f"{words.kind} for another proxy")
-        call = getattr(self.coordinator.reader, words.kind)(words)
-        if not self.coordinator.waits(self):
-            self.coordinator.queue_event(call)
+            raise InvalidMessageError(Reason.OUT_OF_PLACE, f"{message.kind} from a collector")
+
+    def handle_stream_message(self, message):
+        if message.kind not in ("done", "client_stats"):
+            raise InvalidMessageError(Reason.OUT_OF_PLACE, f"{message.kind} on a stream")
+        if self.coordinator.decoder.proxy(message) != self.proxy:
+            raise InvalidMessageError(Reason.OUT_OF_PLACE, f"{message.kind} for another proxy")
+        event = getattr(self.coordinator.decoder, message.kind)(message)
+        if not self.coordinator.is_waiting(self):
+            self.coordinator.queue_event(event)
--- a/cranecleat/protocol/limits.py
+++ b/cranecleat/protocol/limits.py
@@ -1,43 +1,48 @@
-"""Every wait and limit of the network itself, each with its reason. None of them decides anything about calls."""
+"""Timeouts and limits of the network protocols, each with its reason. None of them takes part in planning."""
 
 from cranecleat.decoding import US_PER_SECOND
 
 # Messages
-MESSAGE = 1 << 20  # bytes in a message, in either direction, as PROTOCOL states
-PARTS = 64  # lines that one message to a proxy may be split into, as PROTOCOL states
-LARGEST = 1e9  # of any figure: far beyond what a day can hold, far under what overflows
-MAX_HTTP_HEAD_BYTES = 1 << 14  # bytes of an answer's status line and headers, of a chunk's size line, of trailers
-LIST = 1 << 22  # bytes of one entry of the watch: a list of some ten thousand backends
+MAX_MESSAGE_BYTES = 1 << 20  # of one message in either direction, as PROTOCOL states
+MAX_MESSAGE_PARTS = 64  # lines into which one message to a proxy may be split, as PROTOCOL states
+MAX_NUMBER = 1e9  # of any number in a message: far more than a deployment reaches, far below an overflow
+MAX_HTTP_HEAD_BYTES = 1 << 14  # status line and headers of a response; also a chunk's size line, and each trailer
+MAX_LIST_BYTES = 1 << 22  # one line of the watch: a list of some ten thousand backends
 
-# What reports can say
-COVERED = 120  # cycles that one may cover at the most: far more than any lateness of reports
-LATENESS = 4  # of the longest time limit: no answer takes longer, as its client has long given up
-SURGE = 30  # times what all joined proxies call typical: no burst, no repeats and no dead neighbours come to that
-LOADED = 4  # of a backend's CPU: a report is noisy, but no machine is that busy
+# Plausibility of reports
+MAX_REPORT_CYCLES = 120  # the interval that one report may cover: far longer than reports are ever late
+# An answer time may be at most this multiple of the longest time limit of a call. No answer takes longer, as the client
+# has given up long before.
+MAX_ANSWER_TIME_MULTIPLE = 4
+# A report may give at most this multiple of the typical rate of all joined proxies together. Neither bursts nor retries
+# nor the load of failed neighbours add up to that much.
+MAX_RATE_MULTIPLE = 30
+MAX_CPU_LOAD = 4  # multiple of a backend's CPU: load reports are noisy, but no machine is that busy
 
 # Memory
-BUFFER = 1 << 14  # bytes of a pooled buffer: many reports, or a joining with room to spare
-HALF_READ = 1 / 16  # of the memory limit may hold half-read messages
-UNREAD = 128 << 10  # bytes that a party may leave unread, as PROTOCOL states
+BUFFER_BYTES = 1 << 14  # a pooled receive buffer: holds many reports, or an attach message with room to spare
+BUFFER_MEMORY_SHARE = 1 / 16  # share of the memory limit that partly received messages may take up
+MAX_UNREAD_BYTES = 128 << 10  # that a peer may leave unread, as PROTOCOL states
 
-# Who dials in
-MUTE = (
-    2 * US_PER_SECOND
-)  # for a joining, from the connection on: time for one in pieces, and a second less than it may take
-LOG_SUMMARY_INTERVAL_US = 5 * US_PER_SECOND  # spoilt messages are logged in sums this often
-SHARE = 1 / 4  # of the descriptors may belong to strangers, and as many to collectors
-SPARE = 1 / 8  # of the descriptors is kept free: for what is being closed, and for discovery
-BACKLOG = 1024  # connections that may wait to be taken: all proxies after another coordinator's death, and strangers
-AT_ONCE = 16  # connections taken in a turn of the loop, fewer than are spared
-PAUSE = US_PER_SECOND // 20  # without a descriptor, nor a stranger that could give one
+# Incoming connections
+# A connection has to identify itself within this time after it was opened. That is enough for an attach message that
+# arrives in pieces, and one second less than an attach may take.
+IDENTIFY_TIMEOUT_US = 2 * US_PER_SECOND
+LOG_SUMMARY_INTERVAL_US = 5 * US_PER_SECOND  # between the log lines that sum up frequent events, as invalid messages
+DESCRIPTOR_SHARE = 1 / 4  # of the descriptors may belong to unidentified connections, and as many to collectors
+SPARE_DESCRIPTOR_SHARE = 1 / 8  # of the descriptors is kept free: for connections being closed, and for discovery
+# Connections that may wait to be accepted: all proxies after the failure of another coordinator, and unidentified ones.
+LISTEN_BACKLOG = 1024
+ACCEPTS_PER_ITERATION = 16  # connections accepted in one iteration of the loop: fewer than the spare descriptors
+ACCEPT_RETRY_US = US_PER_SECOND // 20  # pause when no descriptor is free and no unidentified connection can be ended
 
 # Discovery
-PULSE = 2 * US_PER_SECOND  # a watch brings an empty line this often
-QUIET = PULSE * 3 // 2  # without one for this long it is dialled anew, well within the 6 s that PROTOCOL allows
-PROMPT = US_PER_SECOND  # for the first answer of a watch, which the agent gives at once; two such waits fit in as well
-LAG = 6 * US_PER_SECOND  # an agent may be that far behind, as PROTOCOL states
-DIAL = US_PER_SECOND // 2  # for a dial on one's own machine, where an answer is there at once or not at all
-FIRST_WAIT, LONGEST_WAIT = (
-    US_PER_SECOND // 20,
-    US_PER_SECOND,
-)  # between dials: doubled each time, with half of it left to chance
+HEARTBEAT_US = 2 * US_PER_SECOND  # a watch sends an empty line this often
+# A watch without a heartbeat for this long is dialled again. That is well within the 6 s that PROTOCOL allows.
+HEARTBEAT_TIMEOUT_US = HEARTBEAT_US * 3 // 2
+# For the first bytes on a new watch, which the agent sends at once. Two such timeouts fit into the 6 s as well.
+FIRST_RESPONSE_TIMEOUT_US = US_PER_SECOND
+MAX_AGENT_LAG_US = 6 * US_PER_SECOND  # a discovery agent may be this far behind, as PROTOCOL states
+CONNECT_TIMEOUT_US = US_PER_SECOND // 2  # discovery's agent is on the same machine: it accepts at once or not at all
+FIRST_REDIAL_DELAY_US = US_PER_SECOND // 20  # doubled with each failure in a row; up to half of a delay is random
+MAX_REDIAL_DELAY_US = US_PER_SECOND
--- a/cranecleat/protocol/lines.py
+++ b/cranecleat/protocol/lines.py
@@ -1,58 +1,70 @@
-"""The lines at the coordinator's address: bytes in, messages or one error out; orders in, bytes out."""
+"""The line protocol at the coordinator's address: parses received lines into messages, and encodes table messages."""
 
 import re
 
 from cranecleat.decoding import US_PER_MS, US_PER_SECOND
-from cranecleat.protocol.limits import COVERED, LARGEST, LATENESS, LOADED, MESSAGE, PARTS, SURGE
+from cranecleat.protocol.limits import (
+    MAX_ANSWER_TIME_MULTIPLE,
+    MAX_CPU_LOAD,
+    MAX_MESSAGE_BYTES,
+    MAX_MESSAGE_PARTS,
+    MAX_NUMBER,
+    MAX_RATE_MULTIPLE,
+    MAX_REPORT_CYCLES,
+)
 from cranecleat.protocol.reasons import InvalidMessageError, ProtocolError, Reason
 
-END = b"\r\n"
-FIGURE = re.compile(r"\d{1,18}(\.\d{0,18})?([eE][+-]?\d{1,2})?", re.ASCII)
-WHOLE = re.compile(r"\d{1,15}", re.ASCII)
+CRLF = b"\r\n"
+NUMBER = re.compile(r"\d{1,18}(\.\d{0,18})?([eE][+-]?\d{1,2})?", re.ASCII)
+INTEGER = re.compile(r"\d{1,15}", re.ASCII)
 KINDS = ("hb", "attach", "telemetry", "done", "client_stats", "upstream_stats")
-TELLING = 1 + max(map(len, KINDS))  # bytes that tell what a message begins as
-START = re.compile(rb"(%s)( |$)" % b"|".join(kind.encode() for kind in KINDS))
-BUSY, SERVED = ("utilization", "util"), ("throughput", "qps")  # a load report's words, as met and as documented
+PREFIX_BYTES = 1 + max(map(len, KINDS))  # enough of a message's first bytes to tell whether its kind is known
+MESSAGE_START = re.compile(rb"(%s)( |$)" % b"|".join(kind.encode() for kind in KINDS))
+# Keys of a load report. Collectors send the first of each pair; the second is the documented one.
+BUSY_KEYS = ("utilization", "util")
+SERVED_KEYS = ("throughput", "qps")
 
 
 def split_lines(data):
     """The complete lines in `data`, and how many bytes they take."""
-    used = data.rfind(END) + len(END)
-    if used < len(END):
+    used = data.rfind(CRLF) + len(CRLF)
+    if used < len(CRLF):
         return [], 0
-    return data[: used - len(END)].split(END), used
+    return data[: used - len(CRLF)].split(CRLF), used
 
 
 def parse_line(line):
-    """One line as its kind and its words. What begins as a message is one, and spoilt by itself where it cannot be
-    used; anything else shows that the data is no longer messages."""
-    if line and not START.match(line):
-        raise ProtocolError(Reason.UNREADABLE, f"no kind of message: {line[:40]!r}")
+    """The kind and the fields (name -> text) of one line. A line that begins with a known kind but cannot be used is
+    one invalid message. Any other line shows that the data is not messages of this protocol."""
+    if line and not MESSAGE_START.match(line):
+        raise ProtocolError(Reason.UNREADABLE, f"unknown kind of message: {line[:40]!r}")
     try:
-        kind, *words = line.decode().split(" ")
+        kind, *fields = line.decode().split(" ")
     except UnicodeDecodeError:
         raise InvalidMessageError(Reason.UNREADABLE, "not UTF-8") from None
     if not kind:
         raise InvalidMessageError(Reason.UNREADABLE, "an empty message")
     values = {}
-    for word in words:
-        name, equals, value = word.partition("=")
+    for field in fields:
+        name, equals, value = field.partition("=")
         if not (name and equals):
-            raise InvalidMessageError(Reason.UNREADABLE, f"{kind}: {word[:40]!r} is not name=value")
+            raise InvalidMessageError(Reason.UNREADABLE, f"{kind}: {field[:40]!r} is not name=value")
         if name in values:
-            raise InvalidMessageError(Reason.UNREADABLE, f"{kind}: {name[:40]!r} stands twice")
+            raise InvalidMessageError(Reason.UNREADABLE, f"{kind}: {name[:40]!r} occurs twice")
         values[name] = value
     return kind, values
 
 
 def check_prefix(rest):
-    """What has come of the next message must be able to become one, or its end might be waited for in vain."""
-    if rest and not START.match(rest) and not any(kind.encode().startswith(rest) for kind in KINDS):
-        raise ProtocolError(Reason.UNREADABLE, f"no kind of message: {rest[:40]!r}")
+    """Raises ProtocolError if `rest`, the beginning of an incomplete message, cannot become a valid message. Otherwise
+    the connection might wait for its end for ever."""
+    if rest and not MESSAGE_START.match(rest) and not any(kind.encode().startswith(rest) for kind in KINDS):
+        raise ProtocolError(Reason.UNREADABLE, f"unknown kind of message: {rest[:40]!r}")
 
 
 class Message:
-    """The words of one message, read by name; each reader says what is wrong with its word."""
+    """One parsed message. The methods return a field in its type, and raise InvalidMessageError that names the field
+    if it is missing or malformed."""
 
     def __init__(self, kind, values):
         self.kind, self.values = kind, values
@@ -62,107 +74,124 @@
             raise InvalidMessageError(Reason.UNREADABLE, f"{self.kind}: {name!r} is missing")
         return self.values[name]
 
-    def bad(self, name, value=None):
+    def bad_value(self, name, value=None):
         return InvalidMessageError(
             Reason.BAD_FIGURE, f"{self.kind}: {name}={(self.text(name) if value is None else value)[:40]}"
         )
 
-    def figure(self, name, form=FIGURE, most=LARGEST):
+    def number(self, name, form=NUMBER, maximum=MAX_NUMBER):
         text = self.text(name)
-        if not form.fullmatch(text) or float(text) > most:
-            raise self.bad(name)
+        if not form.fullmatch(text) or float(text) > maximum:
+            raise self.bad_value(name)
         return float(text)
 
-    def whole(self, name, most=LARGEST):
-        return int(self.figure(name, WHOLE, most))
+    def integer(self, name, maximum=MAX_NUMBER):
+        return int(self.number(name, INTEGER, maximum))
 
-    def time(self, name, least=0, most=LARGEST):
-        """In microseconds, as `least` and `most` are."""
-        time = round(self.figure(name) * US_PER_MS)
-        if not least <= time <= most:
-            raise self.bad(name)
-        return time
+    def duration(self, name, minimum=0, maximum=MAX_NUMBER):
+        """A field in milliseconds as microseconds; `minimum` and `maximum` are in microseconds."""
+        duration = round(self.number(name) * US_PER_MS)
+        if not minimum <= duration <= maximum:
+            raise self.bad_value(name)
+        return duration
 
-    def yes(self, name):
+    def flag(self, name):
         if self.text(name) not in ("0", "1"):
-            raise self.bad(name)
+            raise self.bad_value(name)
         return self.text(name) == "1"
 
-    def among(self, name, known):
-        if self.text(name) not in known:
+    def index(self, name, indices):
+        """The index of a zone or route that the field names; `indices` maps names to indices."""
+        if self.text(name) not in indices:
             raise InvalidMessageError(Reason.UNKNOWN_NAME, f"{self.kind}: {name}={self.text(name)[:40]}")
-        return known[self.text(name)]
+        return indices[self.text(name)]
 
     def load(self, name):
-        """A load report as (cores busy, calls a second) where it holds both, else None."""
+        """A load report as (busy cores, calls per second), or None if it does not hold both."""
         report = {}
         for pair in filter(None, self.values.get(name, "").split(",")):
             key, colon, value = pair.rpartition(":")
-            if not colon or not FIGURE.fullmatch(value) or float(value) > LARGEST:
-                raise self.bad(name, pair)
+            if not colon or not NUMBER.fullmatch(value) or float(value) > MAX_NUMBER:
+                raise self.bad_value(name, pair)
             report[key] = float(value)
-        busy, served = (next((report[n] for n in words if n in report), None) for words in (BUSY, SERVED))
-        if busy is not None and busy > LOADED:
-            raise self.bad(name)
+        busy, served = (next((report[n] for n in keys if n in report), None) for keys in (BUSY_KEYS, SERVED_KEYS))
+        if busy is not None and busy > MAX_CPU_LOAD:
+            raise self.bad_value(name)
         return None if busy is None or served is None else (busy, served)
 
 
 class MessageDecoder:
-    """Messages as calls of the planner, for one deployment. A figure can be readable and still absurd: what no
-    deployment could have met is spoilt as well, as one such report would move what was learned for a long time."""
+    """Decodes messages into events of the planner, for one deployment. The methods are named by the kinds of messages.
+    A number that no deployment can reach makes a message invalid even if it is well-formed, as one such report would
+    distort what the planner has learned for a long time."""
 
     def __init__(self, zones, routes, proxies, backends, cycle, patience):
         self.zones, self.routes = zones, routes  # name -> index
-        self.proxies, self.backends = proxies, backends  # how many there are; the names that were listed
-        self.longest, self.patience = cycle * COVERED, patience * LATENESS  # interval and answer
-        self.typical_rate = 0.0  # calls a second of all that are joined, as they said
-
-    def proxy(self, words):
-        number = words.whole("node")
+        self.proxies = proxies  # their number; proxies are numbered from 0
+        self.backends = backends  # names and indices of the listed backends
+        self.max_interval = cycle * MAX_REPORT_CYCLES
+        self.max_answer_time = patience * MAX_ANSWER_TIME_MULTIPLE
+        self.typical_rate = 0.0  # calls per second of all joined proxies together, as they stated at attach
+
+    def proxy(self, message):
+        number = message.integer("node")
         if number >= self.proxies:
-            raise InvalidMessageError(Reason.UNKNOWN_NAME, f"{words.kind}: node={number}")
+            raise InvalidMessageError(Reason.UNKNOWN_NAME, f"{message.kind}: node={number}")
         return number
 
-    def telemetry(self, words):
-        return words.among("locality", self.zones)
-
-    def attach(self, words):
-        return self.proxy(words), words.among("locality", self.zones), words.figure("w"), words.yes("cold")
-
-    def done(self, words):
-        words.time("latency")
-        return ("acknowledged", self.proxy(words), words.whole("nonce"))
+    def telemetry(self, message):
+        return message.index("locality", self.zones)
 
-    def client_stats(self, words):
-        words.whole("errors")  # may be of calls that came earlier
-        return ("demand_reported", self.proxy(words), words.among("route", self.routes), *self.total(words))
+    def attach(self, message):
+        """(proxy, zone, typical rate, whether the proxy holds only its initial table)"""
+        return (
+            self.proxy(message),
+            message.index("locality", self.zones),
+            message.number("w"),
+            message.flag("cold"),
+        )
 
-    def total(self, words):
-        """How many in how long. All calls may come to one proxy and again, but no more than that."""
-        total, covers = words.whole("total"), words.time("interval", 1, self.longest)
-        if total > SURGE * (1.0 + self.typical_rate * max(covers / US_PER_SECOND, 1.0)):
-            raise words.bad("total")
-        return total, covers
+    def done(self, message):
+        message.duration("latency")
+        return ("acknowledged", self.proxy(message), message.integer("nonce"))
+
+    def client_stats(self, message):
+        message.integer("errors")  # may exceed the total, as it may count calls of an earlier interval
+        return (
+            "demand_reported",
+            self.proxy(message),
+            message.index("route", self.routes),
+            *self.total_and_interval(message),
+        )
 
-    def upstream_stats(self, words):
-        """None for a backend that was never listed: it would only take up memory."""
-        zone, backend = words.among("locality", self.zones), self.backends.index.get(words.text("endpoint"))
-        total, covers = self.total(words)
-        call = (
+    def total_and_interval(self, message):
+        """The number of calls or tries, and the interval in microseconds in which they came. At most, all calls of the
+        deployment come to one proxy, and are retried; more than that is invalid."""
+        total, interval = message.integer("total"), message.duration("interval", 1, self.max_interval)
+        if total > MAX_RATE_MULTIPLE * (1.0 + self.typical_rate * max(interval / US_PER_SECOND, 1.0)):
+            raise message.bad_value("total")
+        return total, interval
+
+    def upstream_stats(self, message):
+        """None for a backend that was never listed, as its record would only take up memory."""
+        zone, backend = message.index("locality", self.zones), self.backends.index.get(message.text("endpoint"))
+        total, interval = self.total_and_interval(message)
+        event = (
             "attempts_reported",
             backend,
             zone,
             total,
-            words.whole("errors", total),
-            words.time("rtt", 0, self.patience),
-            covers,
-            words.load("metrics"),
+            message.integer("errors", total),
+            message.duration("rtt", 0, self.max_answer_time),
+            interval,
+            message.load("metrics"),
         )
-        return None if backend is None else call
+        return None if backend is None else event
 
 
 def encode_assign(routes=(), replace=False, rows=(), level=None, drop=(), undrop=(), stamp=None):
-    """One line of orders, without its end; `join` makes a message of several."""
+    """One assign line without its line end; `join_lines` makes a message of several. `level` is an admission level as
+    (level, tries)."""
     words = ["assign"]
     if routes:
         words.append("for=" + "+".join(routes))
@@ -182,8 +211,9 @@
 
 
 def join_lines(parts):
-    """Lines of orders as one message, as long as one may be."""
-    message = b" part=1\r\n".join(parts) + END
-    if len(parts) > PARTS or len(message) > MESSAGE:
+    """Assign lines as one message; `part=1` marks each line that is followed by another one of the message. Raises
+    ValueError if the message exceeds the limits of the protocol."""
+    message = b" part=1\r\n".join(parts) + CRLF
+    if len(parts) > MAX_MESSAGE_PARTS or len(message) > MAX_MESSAGE_BYTES:
         raise ValueError(f"a message of {len(parts)} parts and {len(message)} bytes")
     return message
--- a/cranecleat/protocol/registry.py
+++ b/cranecleat/protocol/registry.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of backends, and the watch that carries its changes."""
+"""Discovery: the list of backends, and the watch that sends its changes."""
 
 import asyncio
 import json
@@ -8,209 +8,239 @@
 from cranecleat.decoding import US_PER_MS, US_PER_SECOND
 from cranecleat.protocol import http
 from cranecleat.protocol.connections import Connection
-from cranecleat.protocol.limits import DIAL, FIRST_WAIT, LAG, LIST, LONGEST_WAIT, PROMPT, QUIET
+from cranecleat.protocol.limits import (
+    CONNECT_TIMEOUT_US,
+    FIRST_REDIAL_DELAY_US,
+    FIRST_RESPONSE_TIMEOUT_US,
+    HEARTBEAT_TIMEOUT_US,
+    MAX_AGENT_LAG_US,
+    MAX_LIST_BYTES,
+    MAX_REDIAL_DELAY_US,
+)
 from cranecleat.protocol.reasons import ProtocolError, Reason
 
 STATES = {"active": "running", "leaving": "draining", "left": "gone"}
-NAME = re.compile(r"[^\s,:+=]{1,200}")  # what can stand in an order
+BACKEND_NAME = re.compile(r"[^\s,:+=]{1,200}")  # names that an assign message can carry
 
 
-def record(target, zones, kinds):
-    """One entry of a list; its backend still has its name."""
+def decode_entry(target, zones, kinds):
+    """One entry of a list as (name, state, zone, kind, capacity, start time in microseconds). The backend has no index
+    yet."""
     try:
         name, state, started = target["uid"], target["state"], target["boot_ms"] or 0
-        size = target.get("capacity_hint", 1.0)
-        if not isinstance(name, str) or not NAME.fullmatch(name) or not name.isprintable():
-            raise ProtocolError(Reason.BAD_LIST, f"a name that no order can hold: {name!r:.60}")
-        if not 0 <= started <= 1e15 or not 0 <= size <= 1e9:
-            raise ProtocolError(Reason.BAD_LIST, f"{name}: a figure out of range")
+        capacity = target.get("capacity_hint", 1.0)
+        if not isinstance(name, str) or not BACKEND_NAME.fullmatch(name) or not name.isprintable():
+            raise ProtocolError(Reason.BAD_LIST, f"a name that no message can carry: {name!r:.60}")
+        if not 0 <= started <= 1e15 or not 0 <= capacity <= 1e9:
+            raise ProtocolError(Reason.BAD_LIST, f"{name}: a number out of range")
         return (
             name,
             STATES[state],
             zones[target["az"]],
             kinds[target["model"]],
-            float(size),
+            float(capacity),
             round(started * US_PER_MS),
         )
     except ProtocolError:
         raise
     except KeyError as missing:
         raise ProtocolError(Reason.BAD_LIST, f"missing or unknown: {missing.args[0]!r:.60}") from None
-    except (TypeError, AttributeError, ValueError, OverflowError) as wrong:
-        raise ProtocolError(Reason.BAD_LIST, f"no entry of a list: {wrong}") from None
+    except (TypeError, AttributeError, ValueError, OverflowError) as error:
+        raise ProtocolError(Reason.BAD_LIST, f"malformed entry: {error}") from None
 
 
-def decode_list(entry, zones, kinds):
-    """A list, or changes of it, as version, scope, entries, and what is wrong with the others: each costs only
-    itself. Their names, where those can be read, or None -> why."""
-    if not isinstance(entry, dict) or not isinstance(entry.get("targets"), list) or "all" not in entry:
-        raise ProtocolError(Reason.BAD_LIST, "no list of backends")
-    version, records, wrong = entry.get("rev"), [], {}
+def decode_list(document, zones, kinds):
+    """A list of backends, or changes of it, as (version, scope, entries, errors). An entry that cannot be used affects
+    no other one; `errors` maps its name, or None if that cannot be read, to the reason."""
+    if not isinstance(document, dict) or not isinstance(document.get("targets"), list) or "all" not in document:
+        raise ProtocolError(Reason.BAD_LIST, "not a list of backends")
+    version, entries, errors = document.get("rev"), [], {}
     if isinstance(version, bool) or not isinstance(version, int):
-        raise ProtocolError(Reason.BAD_LIST, "a version that is no whole number")
-    for target in entry["targets"]:
+        raise ProtocolError(Reason.BAD_LIST, "the version is not an integer")
+    for target in document["targets"]:
         try:
-            records.append(record(target, zones, kinds))
-        except ProtocolError as why:
+            entries.append(decode_entry(target, zones, kinds))
+        except ProtocolError as error:
             name = target.get("uid") if isinstance(target, dict) else None
-            wrong[name if isinstance(name, str) else None] = str(why)
-    return version, "whole" if entry["all"] else "changes", records, wrong
+            errors[name if isinstance(name, str) else None] = str(error)
+    return version, "whole" if document["all"] else "changes", entries, errors
 
 
 class LineSplitter:
-    """The body of a watch: pieces in, whole lines out."""
+    """Splits the body of a watch, which comes in pieces, into lines."""
 
     def __init__(self):
-        self.half = b""
+        self.partial = b""
 
     def feed(self, piece):
-        *whole, self.half = (self.half + piece).split(b"\n")
-        if len(self.half) > LIST:
-            raise ProtocolError(Reason.TOO_LONG, "an entry of the watch without an end")
-        return whole
+        *complete, self.partial = (self.partial + piece).split(b"\n")
+        if len(self.partial) > MAX_LIST_BYTES:
+            raise ProtocolError(Reason.TOO_LONG, "a line of the watch without an end")
+        return complete
 
     def flush(self):
-        """A body may end without a last line break."""
-        last, self.half = self.half, b""
+        """The rest of a body that ends without a line break."""
+        last, self.partial = self.partial, b""
         return [last]
 
 
 class Watch(Connection):
-    """One connection to discovery, from its dial to its end."""
+    """One connection to discovery: sends the request, and passes on the lines of the response."""
 
-    def __init__(self, coordinator, registry):
+    def __init__(self, coordinator, discovery):
         super().__init__(coordinator)
-        self.registry, self.answer, self.lines = registry, http.ResponseParser(), LineSplitter()
-        self.address, self.move = registry.address, registry.moves
-        self.begun, self.whole = False, self.opened  # whether it has said anything; when its last whole line came
+        self.discovery, self.response, self.line_splitter = discovery, http.ResponseParser(), LineSplitter()
+        self.address, self.address_number = discovery.address, discovery.address_number
+        self.has_received = False
+        self.last_line_at = self.opened_at  # when the last complete line came
 
-    def who(self):
+    def log_identity(self):
         return {"who": "discovery"}
 
     def connection_made(self, transport):
         super().connection_made(transport)
-        self.registry.watches.add(self)
-        self.look()  # first: whatever goes wrong from here on, it is found silent
-        path = f"/registry/instances?watch=1&from={self.registry.version}"
-        self.write(http.get(":".join(map(str, self.address)), path))
-
-    def use(self, data):
-        self.begun = True
-        pieces, used = self.answer.feed(data)
-        found = [line for piece in pieces for line in self.lines.feed(piece)]
-        if self.answer.complete:
-            found += self.lines.flush()
-        for line in found:
+        self.discovery.watches.add(self)
+        self.check_silence()  # first, so that the watch is ended as silent whatever fails below
+        path = f"/registry/instances?watch=1&from={self.discovery.version}"
+        self.write(http.build_get(":".join(map(str, self.address)), path))
+
+    def consume(self, data):
+        self.has_received = True
+        pieces, used = self.response.feed(data)
+        lines = [line for piece in pieces for line in self.line_splitter.feed(piece)]
+        if self.response.complete:
+            lines += self.line_splitter.flush()
+        for line in lines:
             if line.strip():
-                self.registry.heard(line)
-            self.whole = self.heard
-            self.registry.alive(self)
-        if self.answer.complete:
+                self.discovery.handle_line(line)
+            self.last_line_at = self.last_received_at
+            self.discovery.watch_received_line(self)
+        if self.response.complete:
             self.end(Reason.CLOSED, "the watch has ended")
         return used
 
-    def look(self):
-        """A watch that has lost its pulse may be silent for ever, and the list may change meanwhile. Where discovery
-        itself is down this only dials once a second or two. Bytes that make no line are no pulse: a line gets as long
-        as a pulse, and twice that at the next try, so that a list which comes slowly is heard after all."""
+    def check_silence(self):
+        """Ends a watch without heartbeats, and schedules the next check. Such a watch may stay silent for ever while
+        the list changes. Where discovery itself is down, the only effect is a dial every second or two. Bytes that do
+        not complete a line are no heartbeat: a line may take as long as a heartbeat, and twice that at the next try,
+        so that a list that arrives slowly gets through in the end."""
         if self.reason:
             return
-        line = self.whole + min(QUIET << min(self.registry.failures, 10), LAG)
-        due = min(self.heard + QUIET, line) if self.begun else self.opened + PROMPT
+        line_due = self.last_line_at + min(HEARTBEAT_TIMEOUT_US << min(self.discovery.failures, 10), MAX_AGENT_LAG_US)
+        due = (
+            min(self.last_received_at + HEARTBEAT_TIMEOUT_US, line_due)
+            if self.has_received
+            else self.opened_at + FIRST_RESPONSE_TIMEOUT_US
+        )
         if self.coordinator.clock.now() >= due:
-            self.end(Reason.SILENT, "no pulse")
+            self.end(Reason.SILENT, "no heartbeat")
         else:
-            self.coordinator.clock.call_at(due, self.look)
+            self.coordinator.clock.call_at(due, self.check_silence)
 
     def connection_lost(self, failure):
         super().connection_lost(failure)
-        self.registry.lost(self)
+        self.discovery.watch_lost(self)
 
 
-class Registry:
-    """Keeps one watch up, and hands on what it brings. After a move to another address the old watch stays until the
-    new one speaks, so that no change falls between them; what the old one does from then on starts nothing."""
+class DiscoveryClient:
+    """Keeps one watch open, and passes its lists on to the coordinator. After a change of discovery's address the old
+    watch stays until the new one has sent a line, so that no change is missed in between. The end of a watch to an
+    earlier address starts no new dial."""
 
     def __init__(self, coordinator, address, version, seed):
         self.coordinator, self.address, self.version, self.seed = coordinator, address, version, seed
-        self.moves, self.watches = 0, set()
-        self.failures, self.draws, self.dialling, self.due = 0, 0, None, False
-        self.reached = coordinator.clock.now()  # when the version was
-
-    def follow(self, address):
+        self.address_number = 0  # counts the changes of the address
+        self.watches = set()
+        self.failures = 0  # dials and watches that failed in a row
+        self.jitter_draws = 0
+        self.dial_task = None
+        self.dial_scheduled = False
+        self.version_at = coordinator.clock.now()  # when the list reached `version`
+
+    def change_address(self, address):
         if address == self.address:
             return
-        self.address, self.moves, self.failures, self.due = address, self.moves + 1, 0, False
-        if self.dialling:
-            self.dialling.cancel()
-        self.dial(self.moves)
-
-    def dial(self, move=0):
-        """One that fell due for an address that has been left comes to nothing."""
-        if not self.coordinator.stopping and move == self.moves:
-            self.due, self.dialling = False, asyncio.ensure_future(self.connect())
+        self.address, self.address_number = address, self.address_number + 1
+        self.failures = 0
+        self.dial_scheduled = False
+        if self.dial_task:
+            self.dial_task.cancel()
+        self.dial(self.address_number)
+
+    def dial(self, address_number=0):
+        """Opens a watch. A dial that was scheduled for an earlier address does nothing."""
+        if not self.coordinator.stopping and address_number == self.address_number:
+            self.dial_scheduled, self.dial_task = False, asyncio.ensure_future(self.connect())
 
     async def connect(self):
-        move = self.moves
+        address_number = self.address_number
         try:
-            async with asyncio.timeout(DIAL / US_PER_SECOND):
+            async with asyncio.timeout(CONNECT_TIMEOUT_US / US_PER_SECOND):
                 await asyncio.get_running_loop().create_connection(lambda: Watch(self.coordinator, self), *self.address)
-        except Exception as failure:  # also one that takes too long, or a name that no look-up takes
+        except Exception as failure:  # also a timeout, and a host name that the resolver rejects
             self.coordinator.log.info(
                 "connection_ended",
                 code=Reason.REFUSED.value,
                 who="discovery",
                 detail=str(failure) or type(failure).__name__,
             )
-            self.again(move)  # nobody else would
+            self.schedule_dial(address_number)  # there is no watch whose end would do it
 
-    def again(self, move):
-        """Dials after a wait that grows with each failure in a row, so that a list in trouble is left alone."""
-        if self.due or move != self.moves:
+    def schedule_dial(self, address_number):
+        """Schedules a dial after a delay that grows with each failure in a row, so that a discovery in trouble is not
+        loaded further."""
+        if self.dial_scheduled or address_number != self.address_number:
             return
-        self.due, self.failures, self.draws = True, self.failures + 1, self.draws + 1
-        wait = min(FIRST_WAIT << min(self.failures, 10), LONGEST_WAIT)
-        chance = zlib.crc32(f"{self.seed}:dial:{self.draws}".encode()) / 2**32
+        self.dial_scheduled = True
+        self.failures += 1
+        self.jitter_draws += 1
+        delay = min(FIRST_REDIAL_DELAY_US << min(self.failures, 10), MAX_REDIAL_DELAY_US)
+        jitter = zlib.crc32(f"{self.seed}:dial:{self.jitter_draws}".encode()) / 2**32
         self.coordinator.clock.call_at(
-            self.coordinator.clock.now() + int(wait * (1 + chance) / 2), lambda: self.dial(move)
+            self.coordinator.clock.now() + int(delay * (1 + jitter) / 2), lambda: self.dial(address_number)
         )
 
     def stop(self):
-        if self.dialling:
-            self.dialling.cancel()
+        if self.dial_task:
+            self.dial_task.cancel()
 
-    def lost(self, watch):
+    def watch_lost(self, watch):
         self.watches.discard(watch)
-        self.again(watch.move)
+        self.schedule_dial(watch.address_number)
 
-    def alive(self, watch):
-        """The watch of where discovery is now speaks: the others have nothing more to say."""
-        if watch.move == self.moves:
+    def watch_received_line(self, watch):
+        """A watch to the current address is in service: ends the watches to earlier addresses."""
+        if watch.address_number == self.address_number:
             self.failures = 0
             for other in self.watches - {watch}:
                 other.end(Reason.REPLACED)
 
-    def heard(self, line):
-        """Two watches, or an agent that lags, may bring what has been told already: changes are dropped then, and a
-        whole list refused, its watch with it, for as long as an agent may lag. After that versions are counted anew: a
-        whole list is believed, and after changes, which say nothing of what was missed, all is asked for. Could do
-        harm where an agent lags by more: the list goes back to what that agent holds. An entry's version counts once
-        the entry is in."""
+    def handle_line(self, line):
+        """Passes a list, or changes of it, on to the coordinator.
+
+        Two watches, or an agent that lags, may send a version older than the one that is known. For as long as an
+        agent may lag, older changes are ignored, and an older whole list is refused together with its watch. After
+        that time the versions are taken to be counted from the start again: a whole list is accepted. Changes are
+        refused, as they do not tell what was missed, and the next watch asks for the whole list. This could do harm
+        where an agent lags by more than the limit: the list then goes back to the state that this agent has.
+
+        The version is stored only after the list has been taken in."""
         try:
-            entry = json.loads(line)
-        except (ValueError, RecursionError) as wrong:
-            raise ProtocolError(Reason.BAD_LIST, f"no JSON: {wrong}") from None
-        version, scope, entries, wrong = decode_list(entry, self.coordinator.reader.zones, self.coordinator.kinds)
+            document = json.loads(line)
+        except (ValueError, RecursionError) as error:
+            raise ProtocolError(Reason.BAD_LIST, f"not JSON: {error}") from None
+        decoder = self.coordinator.decoder
+        version, scope, entries, errors = decode_list(document, decoder.zones, self.coordinator.kinds)
         now = self.coordinator.clock.now()
         if version < self.version:
-            before, lags = self.version, now - self.reached < LAG
-            if lags and scope == "changes":
+            known, may_lag = self.version, now - self.version_at < MAX_AGENT_LAG_US
+            if may_lag and scope == "changes":
                 return
-            if not lags and scope == "changes":
+            if not may_lag and scope == "changes":
                 self.version = 0
-            if lags or scope == "changes":
+            if may_lag or scope == "changes":
                 raise ProtocolError(
-                    Reason.BAD_LIST, f"version {version} after {before}{'' if lags else ', counted anew'}"
+                    Reason.BAD_LIST, f"version {version} after {known}{'' if may_lag else ', counted anew'}"
                 )
-        self.coordinator.listed(scope, entries, wrong)
-        self.version, self.reached = version, now
+        self.coordinator.update_backends(scope, entries, errors)
+        self.version, self.version_at = version, now
--- a/cranecleat/service/__init__.py
+++ b/cranecleat/service/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: what is read at start, logging, the clock, rounds, signals."""
+"""Runs one coordinator: its configuration, logging, clock, planner rounds and signals."""
--- a/cranecleat/service/clock.py
+++ b/cranecleat/service/clock.py
@@ -1,4 +1,4 @@
-"""The planner's clock and everything that is due, behind one timer of the loop."""
+"""The planner's clock, and the callbacks that are scheduled on it, behind one timer of the event loop."""
 
 from heapq import heappop, heappush
 
@@ -6,32 +6,39 @@
 
 
 class Clock:
-    """Unix time in microseconds, taken once and carried on by the monotonic clock: a step of the machine's
-    clock moves nothing, and the start times in the list can be compared."""
+    """Unix time in microseconds. The wall clock is read once and advanced by the loop's monotonic clock: a step of the
+    machine's clock has no effect, and the times still compare with the start times in the list of backends."""
 
     def __init__(self, loop, unix):
-        self.loop, self.unix, self.base = loop, round(unix * US_PER_SECOND), loop.time()
-        self.due, self.count, self.timer, self.armed = [], 0, None, 0
+        self.loop = loop
+        self.unix_start = round(unix * US_PER_SECOND)
+        self.loop_start = loop.time()
+        self.scheduled = []  # a heap of (time, sequence number, callback)
+        self.sequence = 0  # callbacks of the same time run in the order in which they were scheduled
+        self.timer = None
+        self.timer_at = 0  # the time that `timer` is set for
 
     def now(self):
-        return self.unix + round((self.loop.time() - self.base) * US_PER_SECOND)
+        return self.unix_start + round((self.loop.time() - self.loop_start) * US_PER_SECOND)
 
-    def call_at(self, when, act):
-        self.count += 1
-        heappush(self.due, (when, self.count, act))
-        self.arm()
+    def call_at(self, when, callback):
+        self.sequence += 1
+        heappush(self.scheduled, (when, self.sequence, callback))
+        self.arm_timer()
 
-    def arm(self):
-        if self.due and (self.timer is None or self.due[0][0] < self.armed):
+    def arm_timer(self):
+        """Sets the loop's timer for the earliest callback, unless it is set for that or an earlier time already."""
+        if self.scheduled and (self.timer is None or self.scheduled[0][0] < self.timer_at):
             if self.timer:
                 self.timer.cancel()
-            self.armed = self.due[0][0]
-            self.timer = self.loop.call_at(self.base + (self.armed - self.unix) / US_PER_SECOND, self.fire)
+            self.timer_at = self.scheduled[0][0]
+            since_start = (self.timer_at - self.unix_start) / US_PER_SECOND
+            self.timer = self.loop.call_at(self.loop_start + since_start, self.run_due)
 
-    def fire(self):
+    def run_due(self):
         self.timer, now = None, self.now()
         try:
-            while self.due and self.due[0][0] <= now:
-                heappop(self.due)[2]()
-        finally:  # one that fails must not stop the others
-            self.arm()
+            while self.scheduled and self.scheduled[0][0] <= now:
+                heappop(self.scheduled)[2]()
+        finally:  # an exception in one callback must not keep the others from running
+            self.arm_timer()
--- a/cranecleat/service/coordinator.py
+++ b/cranecleat/service/coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator: what came in goes to the planner once a round, what it decides goes to the streams."""
+"""The coordinator: hands events from all connections to the planner once a round, and its decisions to the streams."""
 
 import re
 
@@ -7,22 +7,33 @@
 from cranecleat.memory.streams import Streams
 from cranecleat.policy import Planner
 from cranecleat.protocol.connections import Incoming
-from cranecleat.protocol.limits import BUFFER, HALF_READ, LOG_SUMMARY_INTERVAL_US, MUTE, SHARE, SPARE
+from cranecleat.protocol.limits import (
+    BUFFER_BYTES,
+    BUFFER_MEMORY_SHARE,
+    DESCRIPTOR_SHARE,
+    IDENTIFY_TIMEOUT_US,
+    LOG_SUMMARY_INTERVAL_US,
+    SPARE_DESCRIPTOR_SHARE,
+)
 from cranecleat.protocol.lines import MessageDecoder
 from cranecleat.protocol.reasons import Reason
-from cranecleat.protocol.registry import Registry
+from cranecleat.protocol.registry import DiscoveryClient
 
-SLOW_ROUND = 1 / 50  # of a cycle
+SLOW_ROUND_CYCLES = 1 / 50  # a round that takes longer than this is logged
 
 
 class Coordinator:
-    """What all connections share. `failed` is called with what the planner raised."""
+    """The state that all connections share. `failed` is called with the exception when the planner raises one."""
 
     def __init__(self, configuration, clock, log, failed):
-        self.configuration, self.clock, self.log, self.failed = configuration, clock, log, failed
-        self.names, self.kinds = IndexMap(), configuration.kinds
+        self.configuration = configuration
+        self.clock = clock
+        self.log = log
+        self.failed = failed
+        self.names = IndexMap()
+        self.kinds = configuration.kinds
         routes = {name: index for index, name in enumerate(configuration.routes)}
-        self.reader = MessageDecoder(
+        self.decoder = MessageDecoder(
             configuration.zones,
             routes,
             configuration.proxies,
@@ -30,183 +41,206 @@
             configuration.bootstrap.cycle,
             configuration.patience,
         )
-        self.pool = BufferPool(BUFFER, max(1, int(configuration.memory * HALF_READ) // BUFFER))
-        self.connections, self.strangers, self.collectors, self.stopping = set(), {}, set(), False
-        self.share, self.sums, self.expiring = max(1, int(configuration.descriptors * SHARE)), {}, False
-        self.registry = Registry(self, configuration.discovery, configuration.known[0], configuration.seed)
+        self.pool = BufferPool(BUFFER_BYTES, max(1, int(configuration.memory * BUFFER_MEMORY_SHARE) // BUFFER_BYTES))
+        self.connections = set()
+        self.unidentified = {}  # connections that have not said what they are, the oldest first; a dict as ordered set
+        self.collectors = set()
+        self.stopping = False
+        self.connection_quota = max(1, int(configuration.descriptors * DESCRIPTOR_SHARE))
+        self.log_counts = {}  # (event, *fields) -> (how often since the last summary, detail of the last one)
+        self.expiry_scheduled = False
+        self.discovery = DiscoveryClient(self, configuration.discovery, configuration.known[0], configuration.seed)
         self.planner = Planner(configuration.bootstrap, configuration.seed)
-        self.streams = Streams(self.names, configuration.routes, self.set_timer, self.watch, self.says)
-        self.files, self.writer = None, self.streams  # the files transport, where it is on: see `through_files`
-        self.arrivals, self.waiting, self.last, self.longest = [], False, 0, 0
-
-    def through_files(self, front, writer):
-        """Some proxies are served through files from now on; before `start`, as both have to know all tables."""
-        self.files, self.writer = front, writer
+        self.streams = Streams(self.names, configuration.routes, self.set_timer, self.watch, self.log_planner_text)
+        self.files = None  # the files transport, where it is switched on: see `use_files_transport`
+        self.writer = self.streams
+        self.pending_events = []
+        self.round_scheduled = False
+        self.last_round_at = 0
+        self.longest_round = 0  # microseconds
+
+    def use_files_transport(self, transport, writer):
+        """Serves some proxies through files. Must be called before `start`, as both transports need all tables."""
+        self.files, self.writer = transport, writer
 
     def start(self):
-        """The planner knows the list as it was last had before anybody is answered."""
-        self.waiting = True  # for the round right below
-        self.listed("held", *self.configuration.known[1:])
-        self.round()
+        """Gives the planner the last known list of backends before any connection is served."""
+        self.round_scheduled = True  # keeps `queue_event` from scheduling a round, as one is run right here
+        self.update_backends("held", *self.configuration.known[1:])
+        self.run_round()
 
     def accept(self):
         return Incoming(self)
 
-    # What connections bring
-
-    def queue_event(self, call):
-        if call:
-            self.arrivals.append(call)
-            if not self.waiting:
-                self.waiting = True
-                self.clock.call_at(max(self.clock.now(), self.last + self.configuration.round), self.round)
-
-    def listed(self, scope, entries, wrong):
-        """An entry that cannot be used leaves its backend as it was; a whole list with one is taken as changes, in
-        which what is missing has gone, unless that may be the one whose name cannot be read."""
-        for why in wrong.values():
-            self.log_aggregated("bad_entry", detail=why)
-        if wrong and scope == "whole":
-            scope, named = "changes", {*wrong, *(name for name, *_ in entries)}
-            if None not in wrong:
+    # Input from connections
+
+    def queue_event(self, event):
+        """Queues an event, or nothing for None, and schedules a round if none is scheduled."""
+        if event:
+            self.pending_events.append(event)
+            if not self.round_scheduled:
+                self.round_scheduled = True
+                self.clock.call_at(max(self.clock.now(), self.last_round_at + self.configuration.round), self.run_round)
+
+    def update_backends(self, scope, entries, errors):
+        """Takes a list of backends or changes of it. An entry that cannot be used leaves its backend unchanged. A
+        whole list with such an entry is treated as changes in which the missing backends are gone. If the name of an
+        unusable entry cannot be read, any missing backend may be the one it names, and none counts as gone."""
+        for error in errors.values():
+            self.log_aggregated("bad_entry", detail=error)
+        if errors and scope == "whole":
+            scope, named = "changes", {*errors, *(name for name, *_ in entries)}
+            if None not in errors:
                 entries = entries + [(name, "gone", 0, 0, 1.0, 0) for name in self.names.index if name not in named]
         for name, state, *_ in entries:
             self.log.info("listed", scope=scope, uid=name, state=state)
-        known = [(self.names(name), *rest) for name, *rest in entries]
-        self.streams.backends_listed(scope, known)
-        self.queue_event(("backends_listed", scope, known))
-
-    def joined(self, connection, zone, typical, standing):
-        self.strangers.pop(connection, None)
-        if not self.files or self.files.stream_opened(connection, zone, typical, standing):
-            self.join_stream(connection, zone, typical, standing)
-
-    def join_stream(self, connection, zone, typical, standing):
-        old, brought = self.streams.join(connection.proxy, connection, typical, standing)
-        self.reader.typical_rate = self.streams.typical_rate()
-        if old:
-            old.connection.end(Reason.REPLACED)
-        self.log.info("joined", proxy=connection.proxy, zone=zone, cold=standing, brought=brought)
-        self.queue_event(("proxy_joined", connection.proxy, zone, typical, standing, brought))
-
-    def lost(self, connection):
+        indexed = [(self.names(name), *rest) for name, *rest in entries]
+        self.streams.backends_listed(scope, indexed)
+        self.queue_event(("backends_listed", scope, indexed))
+
+    def stream_attached(self, connection, zone, typical_rate, uses_initial_table):
+        """A connection has identified itself as a proxy's stream."""
+        self.unidentified.pop(connection, None)
+        if not self.files or self.files.stream_opened(connection, zone, typical_rate, uses_initial_table):
+            self.join_stream(connection, zone, typical_rate, uses_initial_table)
+
+    def join_stream(self, connection, zone, typical_rate, uses_initial_table):
+        """Serves a proxy on this stream from now on. An older stream of the same proxy is ended."""
+        replaced, inherited = self.streams.join(connection.proxy, connection, typical_rate, uses_initial_table)
+        self.decoder.typical_rate = self.streams.typical_rate()
+        if replaced:
+            replaced.connection.end(Reason.REPLACED)
+        self.log.info("joined", proxy=connection.proxy, zone=zone, cold=uses_initial_table, brought=inherited)
+        self.queue_event(("proxy_joined", connection.proxy, zone, typical_rate, uses_initial_table, inherited))
+
+    def connection_closed(self, connection):
         if connection.proxy is None:
             return
         served = self.streams.leave(connection.proxy, connection)
         if served:
-            self.reader.typical_rate = self.streams.typical_rate()
+            self.decoder.typical_rate = self.streams.typical_rate()
             self.queue_event(("proxy_left", connection.proxy))
         if self.files:
             self.files.stream_closed(connection, served)
 
-    def waits(self, connection):
-        """Whether a stream stands aside, as its proxy is served through files: what it says of orders counts there."""
+    def is_waiting(self, connection):
+        """Whether a stream is not in use because its proxy is served through files. Messages on such a stream are
+        ignored, as the proxy's reports and acknowledgements come through files."""
         return self.files is not None and connection.proxy in self.files.waiting_streams
 
-    # Room for those that need no number: they may come in hundreds, or be left open by a cut
+    # Limits on unidentified connections and collectors. They have no proxy number that bounds how many there are:
+    # hundreds may be opened, or left open when the network is cut.
 
-    def came(self, stranger):
-        """Strangers stand in the order in which they came, and the first is the next to go; one that has just come
-        has its chance in any case."""
-        self.strangers[stranger] = None
-        while len(self.strangers) > self.share or (
-            len(self.strangers) > 1 and len(self.connections) > self.configuration.descriptors * (1 - SPARE)
+    def add_unidentified(self, connection):
+        """Registers a new connection and ends the oldest unidentified ones while there are too many. The new one always
+        stays, so that it has the chance to identify itself."""
+        self.unidentified[connection] = None
+        while len(self.unidentified) > self.connection_quota or (
+            len(self.unidentified) > 1
+            and len(self.connections) > self.configuration.descriptors * (1 - SPARE_DESCRIPTOR_SHARE)
         ):
-            self.drop_stranger()
-        if not self.expiring:
-            self.expiring = True
-            self.clock.call_at(stranger.opened + MUTE, self.expire)
-
-    def drop_stranger(self, detail=None):
-        first = next(iter(self.strangers), None)
-        if first:
-            first.end(Reason.CROWDED, detail)
-        return first is not None
-
-    def expire(self):
-        """Whoever has not joined in time goes, whatever else it said: one wait for all of them."""
+            self.drop_unidentified()
+        if not self.expiry_scheduled:
+            self.expiry_scheduled = True
+            self.clock.call_at(connection.opened_at + IDENTIFY_TIMEOUT_US, self.expire_unidentified)
+
+    def drop_unidentified(self, detail=None):
+        """Ends the oldest unidentified connection; returns whether there was one."""
+        oldest = next(iter(self.unidentified), None)
+        if oldest:
+            oldest.end(Reason.CROWDED, detail)
+        return oldest is not None
+
+    def expire_unidentified(self):
+        """Ends the connections that have not identified themselves in time, even if they have sent other messages.
+        One scheduled call serves all of them."""
         now = self.clock.now()
-        while (first := next(iter(self.strangers), None)) and first.opened + MUTE <= now:
-            first.end(Reason.MUTE)
-        self.expiring = first is not None
-        if first:
-            self.clock.call_at(first.opened + MUTE, self.expire)
-
-    def collects(self, connection):
-        self.strangers.pop(connection, None)
+        while (oldest := next(iter(self.unidentified), None)) and oldest.opened_at + IDENTIFY_TIMEOUT_US <= now:
+            oldest.end(Reason.MUTE)
+        self.expiry_scheduled = oldest is not None
+        if oldest:
+            self.clock.call_at(oldest.opened_at + IDENTIFY_TIMEOUT_US, self.expire_unidentified)
+
+    def add_collector(self, connection):
+        """A connection has identified itself as a collector. Ends the longest silent ones while there are too many."""
+        self.unidentified.pop(connection, None)
         self.collectors.add(connection)
-        while len(self.collectors) > self.share:
-            min(self.collectors, key=lambda one: one.heard).end(Reason.CROWDED)
-
-    def free_buffers(self, asking):
-        """Where none is left for `asking`, the oldest stranger's are taken, else those of who holds the most: it
-        alone has too much half read. Returns whether that was somebody else."""
-        holding = [one for one in self.strangers if one.half.buffers]
-        given = holding[0] if holding else max((*self.connections, asking), key=lambda one: len(one.half.buffers))
-        given.end(Reason.HALF_READ, "no buffer is free")
-        return given is not asking
-
-    def log_aggregated(self, event, detail=None, **what):
-        """What may come again and again is told in sums."""
-        if not self.sums:
-            self.clock.call_at(self.clock.now() + LOG_SUMMARY_INTERVAL_US, self.sum_up)
-        key = event, *what.items()
-        self.sums[key] = self.sums.get(key, (0,))[0] + 1, detail
-
-    def sum_up(self):
-        for (event, *what), (count, detail) in self.sums.items():
-            self.log.warning(event, **dict(what), count=count, detail=detail)
-        self.sums.clear()
-
-    def follow(self, configuration):
-        """A new configuration: discovery moves, all else stays as it was at the start."""
+        while len(self.collectors) > self.connection_quota:
+            min(self.collectors, key=lambda collector: collector.last_received_at).end(Reason.CROWDED)
+
+    def reclaim_buffers(self, requester):
+        """Frees pool buffers for `requester` when none is left, by ending one connection: the oldest unidentified one
+        that holds buffers, else the one that holds the most. Returns whether that was another one than `requester`."""
+        holders = [connection for connection in self.unidentified if connection.receive_buffer.buffers]
+        victim = (
+            holders[0]
+            if holders
+            else max((*self.connections, requester), key=lambda connection: len(connection.receive_buffer.buffers))
+        )
+        victim.end(Reason.HALF_READ, "no buffer is free")
+        return victim is not requester
+
+    def log_aggregated(self, event, detail=None, **fields):
+        """Counts an event that may occur very often, for one log line per summary interval."""
+        if not self.log_counts:
+            self.clock.call_at(self.clock.now() + LOG_SUMMARY_INTERVAL_US, self.flush_log_counts)
+        key = event, *fields.items()
+        self.log_counts[key] = self.log_counts.get(key, (0,))[0] + 1, detail
+
+    def flush_log_counts(self):
+        for (event, *fields), (count, detail) in self.log_counts.items():
+            self.log.warning(event, **dict(fields), count=count, detail=detail)
+        self.log_counts.clear()
+
+    def reload(self, configuration):
+        """Applies the address of discovery of a new configuration; everything else stays as it was at the start."""
         self.log.info(
             "reloaded",
             discovery=":".join(map(str, configuration.discovery)),
-            kept=",".join(self.configuration.kept(configuration)) or None,
+            kept=",".join(self.configuration.ignored_changes(configuration)) or None,
         )
-        self.registry.follow(configuration.discovery)
+        self.discovery.change_address(configuration.discovery)
 
-    # What the planner asks for, beside orders
+    # What the planner asks for, apart from messages to proxies
 
-    def says(self, text):
-        """Its numbers mean nothing to who reads the log."""
+    def log_planner_text(self, text):
+        """Logs a text of the planner, with names in place of backend indices, which mean nothing to an operator."""
         self.log.info("planner", says=re.sub(r"(?<=backend )\d+", lambda m: self.names.ids[int(m[0])], text))
 
     def watch(self):
-        """A watch is kept up in any case, and dialled anew when it fails: see protocol/registry.py."""
+        """Does nothing: protocol/registry.py keeps a watch open at all times and dials again when it fails."""
 
     def set_timer(self, at, number):
         self.clock.call_at(at, lambda: self.queue_event(("timer_fired", number)))
 
     # Rounds
 
-    def round(self):
-        self.waiting = False
+    def run_round(self):
+        self.round_scheduled = False
         if self.stopping:
             return
-        calls, self.arrivals, self.last = self.arrivals, [], self.clock.now()
+        events, self.pending_events, self.last_round_at = self.pending_events, [], self.clock.now()
         try:
-            self.planner.round(self.last, calls, self.writer)
+            self.planner.round(self.last_round_at, events, self.writer)
             messages = self.streams.messages()
-        except Exception as failure:  # a planner that has failed would lie from now on
+        except Exception as failure:  # after an exception the planner's state is not reliable any more
             self.failed(failure)
             return
         for connection, message in messages:
             connection.write(message)
         if self.files:
             self.files.publish()
-        self.took(self.clock.now() - self.last)
+        self.record_round_time(self.clock.now() - self.last_round_at)
 
-    def took(self, time):
-        """A round holds up all else; the longest so far is told where it is long."""
-        if time > self.longest and time > self.configuration.bootstrap.cycle * SLOW_ROUND:
-            self.log.warning("slow_round", us=time)
-        self.longest = max(self.longest, time)
+    def record_round_time(self, duration):
+        """Keeps the longest round, and logs a round that is the longest so far and slow: it delays everything else."""
+        if duration > self.longest_round and duration > self.configuration.bootstrap.cycle * SLOW_ROUND_CYCLES:
+            self.log.warning("slow_round", us=duration)
+        self.longest_round = max(self.longest_round, duration)
 
     def stop(self):
         self.stopping = True
-        self.registry.stop()
+        self.discovery.stop()
         for connection in list(self.connections):
             connection.end(Reason.STOPPING)
-        self.sum_up()
+        self.flush_log_counts()
--- a/cranecleat/service/logs.py
+++ b/cranecleat/service/logs.py
@@ -1,31 +1,35 @@
-"""Logging: one line an event on standard output, which may be slow or gone without holding anything up."""
+"""Logging: one line per event on standard output. A slow or closed standard output never blocks the coordinator."""
 
 import os
 import select
 import sys
 
-# structlog draws in rich for consoles where the command line has installed it: a third of a start's processor time,
-# which hundreds of coordinators on a shared core pay at each restart. What is marked None counts as not installed.
-drawn = sys.modules.setdefault("rich", None)
+# Where the command line has installed rich, structlog imports it for console output. That import takes a third of the
+# processor time of a start, which hundreds of coordinators on a shared core pay at each restart. A module that is None
+# in sys.modules counts as not installed.
+rich_module = sys.modules.setdefault("rich", None)
 import structlog  # noqa: E402
 
-if drawn is None:
+if rich_module is None:
     del sys.modules["rich"]
 
-LINE = 4096  # bytes: a pipe that can be written to takes that many at once
+MAX_LINE_BYTES = 4096  # a pipe that polls as writable takes this many bytes at once
 
 
 class Sink:
-    """Lines that the reader has no room for are counted and named in the next one that gets through."""
+    """Writes log lines without blocking. Lines for which the pipe has no room are dropped; the next line that is
+    written gives their number as `lost=`."""
 
     def __init__(self, descriptor=1):
-        self.descriptor, self.lost, self.poll = descriptor, 0, select.poll()
+        self.descriptor = descriptor
+        self.lost = 0
+        self.poll = select.poll()
         self.poll.register(descriptor, select.POLLOUT)
 
     def msg(self, text):
         if self.lost:
             text = f"{text} lost={self.lost}"
-        line = text.encode("utf-8", "backslashreplace").replace(b"\n", b"\\n")[: LINE - 1] + b"\n"
+        line = text.encode("utf-8", "backslashreplace").replace(b"\n", b"\\n")[: MAX_LINE_BYTES - 1] + b"\n"
         try:
             ready = any(event & select.POLLOUT for _, event in self.poll.poll(0))
             written = os.write(self.descriptor, line) if ready else 0
@@ -37,6 +41,7 @@
 
 
 def open_log(name):
+    """A structlog logger in logfmt whose lines carry the coordinator's name; fields that are None are left out."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/tests/service_harness.py
+++ b/tests/service_harness.py
@@ -12,7 +12,7 @@
 import time
 
 from cranecleat.service import run
-from cranecleat.service.start import read
+from cranecleat.service.start import read_configuration
 from planner_harness import CoordinatorProcess
 
 MASKED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
@@ -80,7 +80,9 @@
         self.write(self.service.configuration)
         self.patch.setenv("BALANCER_CONFIG", str(self.service.path))
         asyncio.set_event_loop(self.loop)
-        self.task = self.loop.create_task(run.serve(read({"BALANCER_CONFIG": str(self.service.path)}), self.log))
+        self.task = self.loop.create_task(
+            run.serve(read_configuration({"BALANCER_CONFIG": str(self.service.path)}), self.log)
+        )
         self.until(lambda: self.log.events("serving") or self.task.done())
         return self
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -9,7 +9,13 @@
 import pytest
 
 from cranecleat.protocol import http
-from cranecleat.protocol.limits import FIRST_WAIT, LAG, LONGEST_WAIT, PROMPT, QUIET
+from cranecleat.protocol.limits import (
+    FIRST_REDIAL_DELAY_US,
+    FIRST_RESPONSE_TIMEOUT_US,
+    HEARTBEAT_TIMEOUT_US,
+    MAX_AGENT_LAG_US,
+    MAX_REDIAL_DELAY_US,
+)
 from cranecleat.protocol.reasons import Reason
 from planner_harness import CoordinatorProcess, http_chunk
 from service_harness import ServiceHarness
@@ -17,7 +23,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 PULSE = b"1\r\n\n\r\n"
 ATTACH = "attach node=3 locality=a w=6.5 cold=1"
-SOON = 4 * FIRST_WAIT / 1e6  # a dial after a first failure falls due within that
+SOON = 4 * FIRST_REDIAL_DELAY_US / 1e6  # a dial after a first failure falls due within that
 
 
 @pytest.fixture
@@ -40,10 +46,10 @@
 @pytest.mark.parametrize(
     "said, after",
     [
-        (b"", PROMPT),
-        (HEAD, QUIET),
-        (HEAD + b'5\r\n{"re', QUIET),
-        (HEAD + PULSE, QUIET),
+        (b"", FIRST_RESPONSE_TIMEOUT_US),
+        (HEAD, HEARTBEAT_TIMEOUT_US),
+        (HEAD + b'5\r\n{"re', HEARTBEAT_TIMEOUT_US),
+        (HEAD + PULSE, HEARTBEAT_TIMEOUT_US),
     ],
     ids=["quiet from the first byte", "quiet after the head", "half a line", "pulses that stop"],
 )
@@ -59,7 +65,7 @@
     watch, _ = stage.watch()
     watch.sendall(HEAD + b"fffff\r\n")
     dialled = []
-    for _ in range(int((LAG + LONGEST_WAIT) / 1e6) + 1):
+    for _ in range(int((MAX_AGENT_LAG_US + MAX_REDIAL_DELAY_US) / 1e6) + 1):
         try:
             watch.sendall(b" ")
         except OSError as failure:
@@ -117,7 +123,7 @@
 def test_a_name_of_discovery_that_no_look_up_takes_leaves_one_dial_due_and_a_later_move_is_followed(stage):
     stage.watch()
     stage.reload(discovery="a..b:80")
-    stage.pass_by(2 * LONGEST_WAIT / 1e6)
+    stage.pass_by(2 * MAX_REDIAL_DELAY_US / 1e6)
     assert ends(stage).count("refused") >= 2 and not stage.log.events("internal")
     stage.reload(discovery=stage.service.format_address(stage.service.registry))
     stage.watch()
@@ -125,18 +131,18 @@
 
 def test_a_watch_whose_question_cannot_be_sent_is_found_silent(stage, monkeypatch):
     watch, _ = stage.watch()
-    ask = http.get
+    ask = http.build_get
 
     def fails(*_):
-        monkeypatch.setattr(http, "get", ask)
+        monkeypatch.setattr(http, "build_get", ask)
         raise ValueError("a question that cannot be put")
 
-    monkeypatch.setattr(http, "get", fails)
+    monkeypatch.setattr(http, "build_get", fails)
     watch.close()
     stage.pass_by(SOON)
     mute, _ = stage.service.registry.accept()  # it was never asked anything
     stage.service.sockets.append(mute)
-    stage.pass_by(PROMPT / 1e6 + SOON)
+    stage.pass_by(FIRST_RESPONSE_TIMEOUT_US / 1e6 + SOON)
     assert ends(stage) == ["closed", "silent"]
     stage.watch()
 
@@ -159,7 +165,7 @@
     assert asked.endswith("from=41 HTTP/1.1")
     again.sendall(HEAD + http_chunk(stage.service.list_backends(42, full=False, s_1="leaving")))
     stage.still()
-    assert calls == ["changes", "changes"] and stage.coordinator.registry.version == 42
+    assert calls == ["changes", "changes"] and stage.coordinator.discovery.version == 42
 
 
 def test_versions_counted_anew_are_noticed_and_the_whole_list_is_asked_for(stage):
@@ -172,7 +178,7 @@
     stage.pass_by(1.0)
     for _ in range(3):
         watch.sendall(PULSE)
-        stage.pass_by(LAG / 3e6)
+        stage.pass_by(MAX_AGENT_LAG_US / 3e6)
     assert listed(stage) == [("s-2", "running")] and ends(stage) == []
     watch.sendall(http_chunk(stage.service.list_backends(8, full=False, s_4="active")))
     ((again, asked),) = stage.dials(SOON)
@@ -180,7 +186,7 @@
     again.sendall(HEAD + http_chunk(stage.service.list_backends(8, s_1="active", s_3="active", s_4="active")))
     stage.still()
     assert listed(stage)[1:] == [("s-1", "running"), ("s-3", "running"), ("s-4", "running")]
-    assert stage.coordinator.registry.version == 8
+    assert stage.coordinator.discovery.version == 8
 
 
 def test_a_move_and_a_move_back_while_a_dial_is_under_way_leave_one_watch(stage):
@@ -196,7 +202,7 @@
         watch.sendall(HEAD + PULSE)
         stage.still()
         assert ends(stage).count("replaced") == 1
-        assert stage.dials(QUIET / 1e6 - 0.1) == [] and not stage.coordinator.registry.due
+        assert stage.dials(HEARTBEAT_TIMEOUT_US / 1e6 - 0.1) == [] and not stage.coordinator.discovery.dial_scheduled
 
 
 def test_an_old_watch_that_dies_after_the_move_and_before_the_new_one_speaks_starts_nothing(stage):
@@ -207,9 +213,9 @@
         stage.reload(discovery=stage.service.format_address(second))
         new, _ = stage.watch(second)
         old.close()
-        assert stage.dials(PROMPT / 1e6 - 0.1) == []
+        assert stage.dials(FIRST_RESPONSE_TIMEOUT_US / 1e6 - 0.1) == []
         new.sendall(HEAD + PULSE)
-        assert stage.dials(QUIET / 1e6 - 0.1) == [] and ends(stage) == ["closed"]
+        assert stage.dials(HEARTBEAT_TIMEOUT_US / 1e6 - 0.1) == [] and ends(stage) == ["closed"]
         new.close()
         assert len(stage.dials(SOON, second)) == 1
 
@@ -239,7 +245,7 @@
 
     def as_it_ends():
         late.extend(stage.dial(ATTACH) for _ in range(3))
-        stage.listener.take()
+        stage.listener.accept_connections()
 
     stage.log.on("stopping", as_it_ends)
     stage.signal(signal.SIGTERM)
@@ -253,7 +259,7 @@
     stage.watch()
     with socket.create_server(("127.0.0.1", 0)) as second:
         second.setblocking(False)
-        stage.log.on("stopping", lambda: stage.coordinator.registry.follow(second.getsockname()))
+        stage.log.on("stopping", lambda: stage.coordinator.discovery.change_address(second.getsockname()))
         stage.signal(signal.SIGTERM)
         stage.until(stage.task.done)
         assert stage.log.lines[-1][0] == "stopped" and set(ends(stage)) == {"stopping"}
@@ -281,8 +287,8 @@
 @pytest.mark.parametrize("first", ["SIGTERM", "SIGINT"])
 def test_a_signal_that_comes_before_the_loop_stops_it_as_soon_as_it_serves(tmp_path, first):
     early = (
-        f"import cranecleat.service.run as r, os, signal; read = r.read\n"
-        f"r.read = lambda *v: (os.kill(os.getpid(), signal.{first}), read(*v))[1]"
+        f"import cranecleat.service.run as r, os, signal; read = r.read_configuration\n"
+        f"r.read_configuration = lambda *v: (os.kill(os.getpid(), signal.{first}), read(*v))[1]"
     )
     with CoordinatorProcess(tmp_path).start(early) as service:
         assert "code=0" in service.wait_for_log("stopped")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,12 +11,20 @@
 from collections import Counter
 
 from cranecleat.protocol.connections import Incoming, Listener
-from cranecleat.protocol.limits import LAG, LOG_SUMMARY_INTERVAL_US, MUTE, PAUSE, PROMPT, QUIET, UNREAD
+from cranecleat.protocol.limits import (
+    ACCEPT_RETRY_US,
+    FIRST_RESPONSE_TIMEOUT_US,
+    HEARTBEAT_TIMEOUT_US,
+    IDENTIFY_TIMEOUT_US,
+    LOG_SUMMARY_INTERVAL_US,
+    MAX_AGENT_LAG_US,
+    MAX_UNREAD_BYTES,
+)
 from cranecleat.protocol.reasons import Reason
 from cranecleat.protocol.registry import Watch
 from cranecleat.service.clock import Clock
 from cranecleat.service.coordinator import Coordinator
-from cranecleat.service.start import read
+from cranecleat.service.start import read_configuration
 from planner_harness import CoordinatorProcess, assert_matches_trace, http_chunk
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -336,7 +344,7 @@
     service, still = CoordinatorProcess(tmp_path), Still()
     with service:
         service.path.write_text(json.dumps(service.configuration))
-        configuration = read({"BALANCER_CONFIG": str(service.path)})
+        configuration = read_configuration({"BALANCER_CONFIG": str(service.path)})
     return still, Coordinator(configuration, Clock(still, 1000.0), still, None)
 
 
@@ -355,20 +363,20 @@
     mute, other = coordinator.accept(), Still()
     mute.connection_made(still)
     say(mute, b"attach nod")
-    still.pass_to(MUTE / 2e6)
+    still.pass_to(IDENTIFY_TIMEOUT_US / 2e6)
     asking, joining = coordinator.accept(), coordinator.accept()
     asking.connection_made(other)
     joining.connection_made(Still())
     for piece in (b"hb\r\natt", b"ach node=3 locality=a w=", b"1 cold=1\r\n"):
-        still.pass_to(still.seconds + MUTE / 1e7)
+        still.pass_to(still.seconds + IDENTIFY_TIMEOUT_US / 1e7)
         say(asking, b"hb\r\n")
         say(joining, piece)
-    still.pass_to(MUTE / 1e6)
+    still.pass_to(IDENTIFY_TIMEOUT_US / 1e6)
     assert mute.reason is Reason.MUTE and still.ended and coordinator.pool.in_use == 0 and not other.ended
-    still.pass_to(MUTE * 3 / 2e6)
-    assert asking.reason is Reason.MUTE and joining.reason is None and not coordinator.strangers
+    still.pass_to(IDENTIFY_TIMEOUT_US * 3 / 2e6)
+    assert asking.reason is Reason.MUTE and joining.reason is None and not coordinator.unidentified
     assert len(
-        [act for _, _, act in coordinator.clock.due if act == coordinator.expire]
+        [act for _, _, act in coordinator.clock.scheduled if act == coordinator.expire_unidentified]
     ) == 0 and coordinator.connections == {joining}
 
 
@@ -389,12 +397,12 @@
     still.remove_reader = lambda _: reads.clear()
     stranger = coordinator.accept()
     stranger.connection_made(Still())
-    listener.open()
+    listener.resume()
     reads[0]()
     assert stranger.reason is Reason.CROWDED and "Too many" in stranger.detail and len(reads) == 1
     reads[0]()
     assert not reads and len(tries) == 2
-    still.pass_to(PAUSE / 1e6)
+    still.pass_to(ACCEPT_RETRY_US / 1e6)
     assert len(reads) == 1
     still.pass_to(LOG_SUMMARY_INTERVAL_US / 1e6)
     assert still.lines[-1] == ("no_descriptor", {"says": "Too many open files", "count": 1, "detail": None})
@@ -419,20 +427,20 @@
 
 def test_a_watch_that_never_answers_is_given_up_soon_and_one_that_did_when_its_pulse_is_missed(tmp_path):
     still, coordinator = quiet_hub(tmp_path)
-    coordinator.registry.dial = lambda move: dialled.append(still.seconds)
-    dialled, mute, other = [], Watch(coordinator, coordinator.registry), Still()
+    coordinator.discovery.dial = lambda move: dialled.append(still.seconds)
+    dialled, mute, other = [], Watch(coordinator, coordinator.discovery), Still()
     mute.connection_made(still)
-    still.pass_to(PROMPT / 1e6)
+    still.pass_to(FIRST_RESPONSE_TIMEOUT_US / 1e6)
     assert mute.reason is Reason.SILENT and still.ended
     mute.connection_lost(None)
-    still.pass_to(PROMPT / 1e6 + 0.1)
+    still.pass_to(FIRST_RESPONSE_TIMEOUT_US / 1e6 + 0.1)
     assert len(dialled) == 1
-    alive = Watch(coordinator, coordinator.registry)
+    alive = Watch(coordinator, coordinator.discovery)
     alive.connection_made(other)
     for pulse in (HEAD + b"1\r\n\n\r\n", b"1\r\n\n\r\n"):
         still.pass_to(still.seconds + 0.9)
         say(alive, pulse)
-    still.pass_to(still.seconds + QUIET / 1e6 - 0.1)
+    still.pass_to(still.seconds + HEARTBEAT_TIMEOUT_US / 1e6 - 0.1)
     assert alive.reason is None
     still.pass_to(still.seconds + 0.1)
     assert alive.reason is Reason.SILENT and other.ended
@@ -442,28 +450,28 @@
     still, coordinator = quiet_hub(tmp_path)
     coordinator.start()
     dialled, ask = [], CoordinatorProcess(tmp_path).list_backends
-    coordinator.registry.dial = dialled.append
-    old = Watch(coordinator, coordinator.registry)
+    coordinator.discovery.dial = dialled.append
+    old = Watch(coordinator, coordinator.discovery)
     old.connection_made(Still())
     say(old, HEAD + http_chunk(ask(43, full=False, s_2="active")))
-    coordinator.registry.follow(("127.0.0.1", 9))
-    new = Watch(coordinator, coordinator.registry)
+    coordinator.discovery.change_address(("127.0.0.1", 9))
+    new = Watch(coordinator, coordinator.discovery)
     new.connection_made(Still())
     say(new, HEAD)
     say(old, http_chunk(ask(44, full=False, s_2="leaving")))
-    assert old.reason is None and coordinator.registry.version == 44
+    assert old.reason is None and coordinator.discovery.version == 44
     say(new, http_chunk(ask(43, full=False, s_2="active")))
-    assert old.reason is Reason.REPLACED and coordinator.registry.version == 44
+    assert old.reason is Reason.REPLACED and coordinator.discovery.version == 44
     old.connection_lost(None)
     say(new, http_chunk(ask(42, s_1="active")))
     assert new.reason is Reason.BAD_LIST and "42 after 44" in new.detail
     new.connection_lost(None)
-    still.pass_to(LAG / 1e6)
+    still.pass_to(MAX_AGENT_LAG_US / 1e6)
     assert dialled == [1, 1]  # for the move, and after the end of the new watch; none after that of the old one
-    newest = Watch(coordinator, coordinator.registry)
+    newest = Watch(coordinator, coordinator.discovery)
     newest.connection_made(Still())
     say(newest, HEAD + http_chunk(ask(42, s_1="active")))
-    assert newest.reason is None and coordinator.registry.version == 42
+    assert newest.reason is None and coordinator.discovery.version == 42
     assert_matches_trace("service_two_watches", [str(line) for line in still.lines if line[0] != "planner"])
 
 
@@ -472,7 +480,7 @@
     coordinator.start()
     rounds, ask = [], CoordinatorProcess(tmp_path).list_backends
     coordinator.planner.round = lambda now, calls, out: rounds.extend(calls)
-    watch = Watch(coordinator, coordinator.registry)
+    watch = Watch(coordinator, coordinator.discovery)
     watch.connection_made(Still())
     say(watch, HEAD + http_chunk(ask(42, s_1="active", s_2="active", s_3="active")))
     for bad in ({"state": "up"}, {"uid": None}):
@@ -492,7 +500,7 @@
     still, coordinator = quiet_hub(tmp_path)
     proxy = coordinator.accept()
     proxy.connection_made(still)
-    proxy.write(b"x" * UNREAD)
+    proxy.write(b"x" * MAX_UNREAD_BYTES)
     assert not still.ended
     proxy.write(b"x")
     assert still.ended and proxy.reason is Reason.UNREAD
@@ -523,7 +531,7 @@
     say(collector, b"telemetry locality=a\r\n")
     for n in range(50):
         say(collector, b"upstream_stats locality=a endpoint=z%d total=1 errors=0 rtt=1 interval=1\r\n" % n)
-    assert len(coordinator.names.ids) == 0 and not coordinator.arrivals and coordinator.pool.in_use == 0
+    assert len(coordinator.names.ids) == 0 and not coordinator.pending_events and coordinator.pool.in_use == 0
 
 
 def test_a_round_waits_for_the_least_time_and_takes_all_that_came(tmp_path):
--- a/tests/test_several_deployments.py
+++ b/tests/test_several_deployments.py
@@ -12,7 +12,7 @@
 from cranecleat.protocol.registry import Watch
 from cranecleat.service.clock import Clock
 from cranecleat.service.coordinator import Coordinator
-from cranecleat.service.start import read
+from cranecleat.service.start import read_configuration
 from planner_harness import SETTINGS, CoordinatorProcess, http_chunk
 from test_service import HEAD, Still, say
 
@@ -62,11 +62,11 @@
             self.settings, self.names = settings, [f"{settings['localities'][0]}{n}" for n in range(5)]
             service.configuration["known"] = self.list(41, **dict.fromkeys(self.names[:3], "active"))
             service.path.write_text(json.dumps(service.configuration))
-            station = read({"BALANCER_CONFIG": str(service.path)})
+            station = read_configuration({"BALANCER_CONFIG": str(service.path)})
         self.still, self.at = Kept(), 0
         self.coordinator = Coordinator(station, Clock(self.still, 1000.0), self.still, self.failed)
         self.coordinator.start()
-        self.proxies, self.watch = [], Watch(self.coordinator, self.coordinator.registry)
+        self.proxies, self.watch = [], Watch(self.coordinator, self.coordinator.discovery)
         self.watch.connection_made(Kept())
         say(self.watch, HEAD)
         self.collector = self.coordinator.accept()
