--- a/tests/service_harness.py
+++ b/tests/service_harness.py
@@ -1,7 +1,7 @@
-"""The real `serve` in this process, on real loopback sockets, with a loop that goes on only when a test steps it.
+"""Runs the real `serve` in the test's process, on loopback sockets, with an event loop that a test runs step by step.
 
-What a test does between two steps has happened before the next one: an order of events that luck brings about once in a
-thousand starts is forced each time. Time passes only by `pass_by`."""
+Whatever a test does between two steps has happened before the next step. That forces orders of events which otherwise
+occur once in a thousand runs. Time passes only in `advance` and in `accept_watches_within`."""
 
 import asyncio
 import contextlib
@@ -18,12 +18,13 @@
 MASKED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-class Loop(asyncio.SelectorEventLoop):
-    """Its clock is the test's, and it never waits: what is ready is done, what is due waits to be told."""
+class SteppedLoop(asyncio.SelectorEventLoop):
+    """An event loop with simulated time that never waits: a step runs what is ready, and timers run when the test has
+    moved the time to them."""
 
     def __init__(self):
         self.seconds = 1000.0
-        super().__init__(Unwaiting())
+        super().__init__(NonBlockingSelector())
 
     def time(self):
         return self.seconds
@@ -32,63 +33,68 @@
         self.call_soon(self.stop)
         self.run_forever()
 
-    async def getaddrinfo(self, *asked, **how):
-        """Without the thread that the loop would ask, which takes real time."""
-        return socket.getaddrinfo(*asked, **how)
+    async def getaddrinfo(self, *arguments, **options):
+        """Resolves without the loop's thread, which would take real time."""
+        return socket.getaddrinfo(*arguments, **options)
 
     def next_due(self):
         return min((timer.when() for timer in self._scheduled if not timer.cancelled()), default=None)
 
 
-class Unwaiting(selectors.DefaultSelector):
+class NonBlockingSelector(selectors.DefaultSelector):
     def select(self, timeout=None):
         return super().select(0)
 
 
-class Log:
-    """Log lines as (event, fields). `on(event, act)`: `act` is called from within the first such line."""
+class RecordingLog:
+    """Keeps log lines as (event, fields). `on(event, callback)`: `callback` is called from within the next such
+    line."""
 
     def __init__(self):
-        self.lines, self.acts = [], {}
+        self.lines, self.callbacks = [], {}
 
-    def on(self, event, act):
-        self.acts[event] = act
+    def on(self, event, callback):
+        self.callbacks[event] = callback
 
-    def say(self, event, **fields):
+    def record(self, event, **fields):
         self.lines.append((event, {key: value for key, value in fields.items() if value is not None}))
-        self.acts.pop(event, lambda: None)()
+        self.callbacks.pop(event, lambda: None)()
 
-    info = warning = error = say
+    info = warning = error = record
 
     def events(self, event):
         return [fields for name, fields in self.lines if name == event]
 
 
 class ServiceHarness:
-    WAIT = 20  # seconds of real time for anything at all: only what never comes takes them
+    """One coordinator in the test's process. The test plays its discovery, its proxies and its collectors."""
+
+    WAIT = 20  # seconds of real time until a test fails: far more than any event takes
 
     def __init__(self, folder, monkeypatch, **changes):
-        self.service, self.patch = CoordinatorProcess(folder, **changes), monkeypatch
+        self.service, self.patch = CoordinatorProcess(folder, **changes), monkeypatch  # never started as a process
         self.service.registry.setblocking(False)
-        self.log, self.loop, self.coordinator, self.listener = Log(), Loop(), None, None
+        self.log, self.loop, self.coordinator, self.listener = RecordingLog(), SteppedLoop(), None, None
 
     def __enter__(self):
-        for name, kept in (("Coordinator", "coordinator"), ("Listener", "listener")):
-            made = getattr(run, name)
-            self.patch.setattr(run, name, lambda *given, made=made, kept=kept: self.keep(kept, made(*given)))
+        for name, attribute in (("Coordinator", "coordinator"), ("Listener", "listener")):
+            create = getattr(run, name)
+            self.patch.setattr(
+                run, name, lambda *values, create=create, attribute=attribute: self.keep(attribute, create(*values))
+            )
         self.masked = signal.pthread_sigmask(signal.SIG_BLOCK, ())
-        self.write(self.service.configuration)
+        self.write_configuration(self.service.configuration)
         self.patch.setenv("BALANCER_CONFIG", str(self.service.path))
         asyncio.set_event_loop(self.loop)
         self.task = self.loop.create_task(
             run.serve(read_configuration({"BALANCER_CONFIG": str(self.service.path)}), self.log)
         )
-        self.until(lambda: self.log.events("serving") or self.task.done())
+        self.step_until(lambda: self.log.events("serving") or self.task.done())
         return self
 
-    def keep(self, name, made):
-        setattr(self, name, made)
-        return made
+    def keep(self, attribute, created):
+        setattr(self, attribute, created)
+        return created
 
     def __exit__(self, *_):
         if not self.task.done():
@@ -97,8 +103,8 @@
                 self.loop.run_until_complete(self.task)
         if self.listener and self.listener.socket.fileno() >= 0:
             self.listener.close()
-        for one in list(self.coordinator.connections):
-            one.transport.abort()
+        for connection in list(self.coordinator.connections):
+            connection.transport.abort()
         for _ in range(3):
             self.loop.step()
         asyncio.set_event_loop(None)
@@ -106,75 +112,76 @@
         signal.pthread_sigmask(signal.SIG_SETMASK, self.masked)
         self.service.__exit__()
 
-    def write(self, told):
-        self.service.path.write_text(told if isinstance(told, str) else json.dumps(told))
+    def write_configuration(self, content):
+        self.service.path.write_text(content if isinstance(content, str) else json.dumps(content))
 
-    # What passes
+    # Steps and time
 
-    def until(self, seen):
-        """Steps until `seen` returns something; returns it. No time passes."""
+    def step_until(self, condition):
+        """Steps until `condition` returns something true; returns it. No simulated time passes."""
         deadline = time.monotonic() + self.WAIT
-        while not (found := seen()):
+        while not (found := condition()):
             assert time.monotonic() < deadline, f"never came; the log: {self.log.lines[-9:]}"
             self.loop.step()
         return found
 
-    def still(self):
-        """Steps until nothing is ready any more: what was sent on loopback has arrived by then."""
+    def settle(self):
+        """Steps until nothing is ready any more. By then, data sent on loopback has arrived."""
         for _ in range(12):
             self.loop.step()
 
-    def pass_by(self, seconds):
-        """Time goes from one due time to the next, and all that is ready is done at each."""
+    def advance(self, seconds):
+        """Moves the time from one timer to the next, and runs all that is ready at each."""
         end = self.loop.seconds + seconds
-        self.still()
+        self.settle()
         while (due := self.loop.next_due()) is not None and due <= end:
             self.loop.seconds = max(due, self.loop.seconds)
-            self.still()
+            self.settle()
         self.loop.seconds = end
-        self.still()
+        self.settle()
 
     def signal(self, number):
         signal.raise_signal(number)
-        self.still()
+        self.settle()
 
     def reload(self, **changes):
         self.service.configuration.update(changes)
-        self.write(self.service.configuration)
+        self.write_configuration(self.service.configuration)
         self.signal(signal.SIGHUP)
 
-    # Who speaks with it
+    # Peers of the coordinator
 
-    def dial(self, *messages):
-        dialled = socket.create_connection(self.service.address, timeout=self.WAIT)
-        self.service.sockets.append(dialled)
-        dialled.setblocking(False)
-        dialled.sendall("".join(message + "\r\n" for message in messages).encode())
-        return dialled
+    def connect(self, *messages):
+        """Connects to the coordinator and sends these messages."""
+        connection = socket.create_connection(self.service.address, timeout=self.WAIT)
+        self.service.sockets.append(connection)
+        connection.setblocking(False)
+        connection.sendall("".join(message + "\r\n" for message in messages).encode())
+        return connection
 
-    def taken(self, listening=None):
-        """The next watch at discovery, and the first line of what it asked for; None where nobody dials."""
+    def try_accept_watch(self, listening=None):
+        """The next watch at discovery and its request line, or None if the coordinator has not connected."""
         try:
             watch, _ = (listening or self.service.registry).accept()
         except BlockingIOError:
             return None
         self.service.sockets.append(watch)
         watch.setblocking(False)
-        return watch, self.until(lambda: self.got(watch)).split("\r\n")[0]
+        return watch, self.step_until(lambda: self.received(watch)).split("\r\n")[0]
 
-    def watch(self, listening=None):
-        """The next watch; some time passes, as nobody answers in the very instant."""
-        found = self.until(lambda: self.taken(listening))
-        self.pass_by(0.01)
+    def accept_watch(self, listening=None):
+        """The next watch and its request line. A little time passes, as no agent answers without any delay."""
+        found = self.step_until(lambda: self.try_accept_watch(listening))
+        self.advance(0.01)
         return found
 
-    def dials(self, seconds, listening=None):
-        """Who dials discovery within that time."""
+    def accept_watches_within(self, seconds, listening=None):
+        """All watches that are opened within that time, with their request lines."""
         end, found = self.loop.seconds + seconds, []
         while True:
-            self.still()
-            while one := self.taken(listening):
-                found.append(one)
+            self.settle()
+            while watch := self.try_accept_watch(listening):
+                found.append(watch)
             due = self.loop.next_due()
             if due is None or due > end:
                 break
@@ -183,11 +190,11 @@
         return found
 
     @staticmethod
-    def got(dialled):
-        """What has come: text, "" where nothing has, None where the connection has ended."""
+    def received(connection):
+        """What has come since the last call: text, "" if nothing has, None if the connection has ended."""
         text = b""
         try:
-            while piece := dialled.recv(65536):
+            while piece := connection.recv(65536):
                 text += piece
         except BlockingIOError:
             return text.decode()
