--- a/tests/test_several_deployments.py
+++ b/tests/test_several_deployments.py
@@ -1,5 +1,5 @@
-"""Two deployments in one process: each gets what it gets alone, whether they take turns or go on side by side. And
-the program knows nothing of the variants that the fleet's days are played with."""
+"""Two deployments in one process: each coordinator sends what it sends alone, whether they run one after the other or
+side by side. And the program knows nothing of the variants of the fleet that only the bench uses."""
 
 import copy
 import json
@@ -14,7 +14,7 @@
 from cranecleat.service.coordinator import Coordinator
 from cranecleat.service.start import read_configuration
 from planner_harness import SETTINGS, CoordinatorProcess, http_chunk
-from test_service import HEAD, Still, say
+from test_service import RESPONSE_HEAD, FakeEnvironment, receive
 
 ROOT = Path(__file__).parent.parent
 OTHER = {
@@ -44,108 +44,118 @@
 }
 
 
-class Kept(Still):
+class RecordingEnvironment(FakeEnvironment):
+    """Also keeps what is written."""
+
     def __init__(self):
         super().__init__()
-        self.said = []
+        self.sent = []
 
     def write(self, message):
-        self.said.append(message)
+        self.sent.append(message)
 
 
-class Station:
-    """One coordinator with its proxies, its collector and its watch, that goes on second by second."""
+class Deployment:
+    """One coordinator with its proxies, its collector and its watch, in simulated time."""
 
     def __init__(self, folder, settings):
         with CoordinatorProcess(folder, settings=settings) as service:
-            self.entry = service.list_backends
+            self.list_backends = service.list_backends
             self.settings, self.names = settings, [f"{settings['localities'][0]}{n}" for n in range(5)]
-            service.configuration["known"] = self.list(41, **dict.fromkeys(self.names[:3], "active"))
+            service.configuration["known"] = self.list_in_deployment(41, **dict.fromkeys(self.names[:3], "active"))
             service.path.write_text(json.dumps(service.configuration))
-            station = read_configuration({"BALANCER_CONFIG": str(service.path)})
-        self.still, self.at = Kept(), 0
-        self.coordinator = Coordinator(station, Clock(self.still, 1000.0), self.still, self.failed)
+            configuration = read_configuration({"BALANCER_CONFIG": str(service.path)})
+        self.fake, self.second = RecordingEnvironment(), 0
+        self.coordinator = Coordinator(configuration, Clock(self.fake, 1000.0), self.fake, self.failed)
         self.coordinator.start()
-        self.proxies, self.watch = [], Watch(self.coordinator, self.coordinator.discovery)
-        self.watch.connection_made(Kept())
-        say(self.watch, HEAD)
+        self.streams, self.watch = [], Watch(self.coordinator, self.coordinator.discovery)
+        self.watch.connection_made(RecordingEnvironment())
+        receive(self.watch, RESPONSE_HEAD)
         self.collector = self.coordinator.accept()
-        self.collector.connection_made(Kept())
-        say(self.collector, f"telemetry locality={settings['localities'][0]}\r\n".encode())
+        self.collector.connection_made(RecordingEnvironment())
+        receive(self.collector, f"telemetry locality={settings['localities'][0]}\r\n".encode())
 
     def failed(self, failure):
         raise failure
 
-    def list(self, rev, full=True, **states):
-        entry, zones, kinds = self.entry(rev, full, **states), self.settings["localities"], self.settings["skus"]
-        for n, target in enumerate(entry["targets"]):
+    def list_in_deployment(self, rev, full=True, **states):
+        """A list of backends that are spread over the deployment's zones and kinds."""
+        document = self.list_backends(rev, full, **states)
+        zones, kinds = self.settings["localities"], self.settings["skus"]
+        for n, target in enumerate(document["targets"]):
             target.update(az=zones[n % len(zones)], model=kinds[n % len(kinds)])
-        return entry
-
-    def go(self):
-        """One second, in which somebody joins, a backend comes and goes, and all marks are answered."""
-        self.at += 1
-        zones, routes = self.settings["localities"], [c["name"] for c in self.settings["requestClasses"]]
-        proxy = self.coordinator.accept()
-        proxy.connection_made(Kept())
-        say(
-            proxy,
+        return document
+
+    def run_second(self):
+        """One second, in which a proxy joins, a backend comes or goes, and the latest messages are acknowledged."""
+        self.second += 1
+        zones, routes = self.settings["localities"], [route["name"] for route in self.settings["requestClasses"]]
+        stream = self.coordinator.accept()
+        stream.connection_made(RecordingEnvironment())
+        receive(
+            stream,
             b"attach node=%d locality=%s w=6.5 cold=1\r\n"
-            % (len(self.proxies) % 8, zones[self.at % len(zones)].encode()),
+            % (len(self.streams) % 8, zones[self.second % len(zones)].encode()),
+        )
+        self.streams.append(stream)
+        state = ("active", "leaving", "left")[self.second % 3]
+        receive(
+            self.watch,
+            http_chunk(self.list_in_deployment(41 + self.second, full=False, **{self.names[self.second % 5]: state})),
         )
-        self.proxies.append(proxy)
-        state = ("active", "leaving", "left")[self.at % 3]
-        say(self.watch, http_chunk(self.list(41 + self.at, full=False, **{self.names[self.at % 5]: state})))
         for n, name in enumerate(self.names):
-            met = f"endpoint={name} total={9 + self.at} errors=1 rtt={30 + 40 * n} interval=700\r\n"
-            say(self.collector, f"upstream_stats locality={zones[0]} {met}".encode())
-        for one in self.proxies:
-            if one.reason is None:
-                number = one.proxy
+            report = f"endpoint={name} total={9 + self.second} errors=1 rtt={30 + 40 * n} interval=700\r\n"
+            receive(self.collector, f"upstream_stats locality={zones[0]} {report}".encode())
+        for stream in self.streams:
+            if stream.reason is None:
+                proxy = stream.proxy
                 for route in routes:
-                    say(
-                        one,
-                        b"client_stats node=%d route=%s total=9 errors=0 interval=700\r\n" % (number, route.encode()),
+                    receive(
+                        stream,
+                        b"client_stats node=%d route=%s total=9 errors=0 interval=700\r\n" % (proxy, route.encode()),
                     )
-                for message in one.transport.said[-1:]:
+                for message in stream.transport.sent[-1:]:
                     if found := re.search(rb"stamp=(\d+)", message):
-                        say(one, b"done node=%d nonce=%s latency=1\r\n" % (number, found[1]))
-        self.still.pass_to(float(self.at))
+                        receive(stream, b"done node=%d nonce=%s latency=1\r\n" % (proxy, found[1]))
+        self.fake.advance_to(float(self.second))
 
-    def told(self):
-        return [b"".join(one.transport.said) for one in self.proxies], [str(line) for line in self.still.lines]
+    def output(self):
+        """What each stream was sent, and the log."""
+        return [b"".join(stream.transport.sent) for stream in self.streams], [str(line) for line in self.fake.lines]
 
 
-@pytest.mark.parametrize("one, two", [(SETTINGS, OTHER), (OTHER, ONE), (ONE, SETTINGS)], ids=["few", "many", "one"])
-def test_two_deployments_in_one_process_get_what_each_gets_alone(tmp_path, one, two):
+@pytest.mark.parametrize(
+    "first, second", [(SETTINGS, OTHER), (OTHER, ONE), (ONE, SETTINGS)], ids=["few", "many", "one"]
+)
+def test_two_deployments_in_one_process_get_what_each_gets_alone(tmp_path, first, second):
     def folder(name):
         (tmp_path / name).mkdir()
         return tmp_path / name
 
     alone = []
-    for number, settings in enumerate((one, two, one)):  # in turn; the first once more after the second
-        station = Station(folder(f"alone{number}"), settings)
+    for number, settings in enumerate((first, second, first)):  # in turn; the first once more after the second
+        deployment = Deployment(folder(f"alone{number}"), settings)
         for _ in range(15):
-            station.go()
-        alone.append(station.told())
-    beside = [Station(folder(f"beside{number}"), settings) for number, settings in enumerate((one, two))]
+            deployment.run_second()
+        alone.append(deployment.output())
+    side_by_side = [Deployment(folder(f"beside{number}"), settings) for number, settings in enumerate((first, second))]
     for _ in range(15):
-        for station in beside:
-            station.go()
-    assert [station.told() for station in beside] == alone[:2] and alone[2] == alone[0]
-    assert all(any(b"replace=1" in said for said in told) for told, _ in alone)
-    for station, settings in zip(beside, (one, two), strict=True):
+        for deployment in side_by_side:
+            deployment.run_second()
+    assert [deployment.output() for deployment in side_by_side] == alone[:2] and alone[2] == alone[0]
+    assert all(any(b"replace=1" in sent for sent in streams) for streams, _ in alone)
+    for deployment, settings in zip(side_by_side, (first, second), strict=True):
         named = {
             name
-            for said in station.told()[0]
-            for found in re.findall(rb"for=(\S+)", said)
+            for sent in deployment.output()[0]
+            for found in re.findall(rb"for=(\S+)", sent)
             for name in found.decode().split("+")
         }
-        assert named <= {c["name"] for c in settings["requestClasses"]}
+        assert named <= {route["name"] for route in settings["requestClasses"]}
 
 
 def test_the_program_never_reads_the_variants():
-    """deploy/sites is for the bench alone: no file of the program names the folder, a variant or what is in one."""
+    """deploy/sites is for the bench alone: no file of the program names the folder, a variant, or anything in one."""
     sites = {path.parent.name: tomllib.loads(path.read_text()) for path in (ROOT / "deploy/sites").glob("*/site.toml")}
     words = {"deploy/sites", *sites}
     for site in sites.values():
