--- a/cranecleat/service/coordinator.py
+++ b/cranecleat/service/coordinator.py
@@ -170,7 +170,8 @@
 
     def reclaim_buffers(self, requester):
         """Frees pool buffers for `requester` when none is left, by ending one connection: the oldest unidentified one
-        that holds buffers, else the one that holds the most. Returns whether that was another one than `requester`."""
+        that holds buffers, else the one that holds the most, as only that one has too much partly received data.
+        Returns whether it was another connection than `requester`."""
         holders = [connection for connection in self.unidentified if connection.receive_buffer.buffers]
         victim = (
             holders[0]
