--- a/cranecleat/interface.py
+++ b/cranecleat/interface.py
@@ -1,6 +1,7 @@
 """What the planner is given at its start, and the interface through which it writes its decisions.
 
-Times are whole microseconds; backends, proxies, routes, zones and kinds are small indices. A transport, such as
+Times are whole microseconds; backends, proxies, routes, zones and kinds are small indices. The channel carries all
+messages of a coordinator to its proxies; a line is the unit of what it sends. A transport, such as
 `cranecleat.wirehost`, decodes its own protocol into `Bootstrap` and into events of the planner, and implements
 `Writer`. Nothing here makes decisions.
 """
@@ -34,10 +35,12 @@
     coordinators: int  # number of coordinators
     must_watch: bool  # whether the planner has to start the watch of the backend list
     watch_timeout: int  # without an answer for this long, the list counts as known
-    admission: str  # "fraction", "per_second" or "silent"
+    # What an admission level is: "fraction": the share of the calls that a proxy admits; "per_second": the calls per
+    # second that each proxy admits; "silent": a share as well, but the planner does not lower it on overload.
+    admission: str
     cycle: int  # interval at which reports are gathered
     backlog: int  # lines that may wait in the channel
-    channel_lines_per_second: float  # lines that the channel usually sends in a second
+    channel_lines_per_second: float  # lines that the channel usually sends per second
     message_overhead: float  # lines that a message costs beside its own
     message_limit: int  # messages to one proxy within `message_limit_window`; 0: no limit
     message_limit_window: int
@@ -45,8 +48,8 @@
     warm_up_time: int  # a backend is cold for this long after its start
     cold_start_capacity: float  # least share of its capacity that a backend can serve at its start
     proxies: int = 0  # number of proxies in the deployment
-    report_lines_per_second: float = 0.0  # lines of reports that get through in a second; 0: not stated
-    cold_overload_multiple: float = 3.0  # a cold backend that is sent this multiple of what it can serve falls over
+    report_lines_per_second: float = 0.0  # lines of reports that get through per second; 0: not stated
+    cold_overload_multiple: float = 3.0  # a cold backend that is sent this multiple of what it can serve fails
 
 
 class Writer(Protocol):
@@ -57,8 +60,10 @@
         ...
 
     def bind(self, proxy: int, table: int, routes: Iterable[int], is_subset: bool = False) -> None:
-        """Binds routes of a proxy to a table. `is_subset`: the table names few of the backends, and only for these are
-        withdrawals lifted that the proxy may hold from elsewhere."""
+        """Binds routes of a proxy to a table. The message also withdraws those of the table's backends that are
+        withdrawn, and lifts withdrawals that the proxy holds but that are not in force here. `is_subset`: the table
+        names few of the backends, and withdrawals that the proxy got from another coordinator are lifted for these
+        backends only."""
         ...
 
     def withdraw(self, backend: int, withdrawn: bool) -> None:
--- a/cranecleat/policy.py
+++ b/cranecleat/policy.py
@@ -1,31 +1,46 @@
 """Decides how calls are spread over backends: adaptive multi-path waterfilling over routes and backends.
 
+The method is Algorithm 2 in section 3.2 of Namyar et al., "Solving Max-Min Fair Resource Allocations Quickly on Large
+Graphs" (Soroush), NSDI 2024; "the paper" and "Algorithm 2" below refer to it. `waterfill` shares the capacity of the
+backends among the demands by weights, where multipliers state how each demand is split over its backends. The
+multiplier loop around it, `run_waterfill`, sets the multipliers in proportion to the rates that came out and repeats
+until they no longer move.
+
 `Planner` makes all decisions of a coordinator. It does no I/O and reads no clock. Each coordinator has one,
 `planner = Planner(bootstrap, seed)`, and calls `planner.round(now, events, writer)` for each batch of events. An event
 is a tuple of its name (a method under "Events") and its values; the batch is in the order in which they happened.
 Decisions go into `writer` in the order in which they are made. `Bootstrap` and `Writer` are defined in
 cranecleat/interface.py.
 
-Times are whole microseconds, rates are calls a second, ids are small indices; `b` is a backend's. A table maps
-backends to weights and is shared by the proxies that are bound to it. A line is the unit of what the channel sends: an
-entry of a table, a withdrawal, a level. The design and its reasons are described in docs/design/planner.md.
+Times are whole microseconds, rates are calls per second, ids are small indices; `b` is a backend's. A table maps
+backends to weights and is shared by the proxies that are bound to it. A backend's multiplier in a table (theta) is its
+share of the table's calls; its weight is the multiplier times the number of backends in the table, so that 1.0 is an
+equal share. The channel carries all messages of this coordinator to its proxies. A line is the unit of what it sends:
+an entry of a table, a withdrawal, a level, a binding. The design and its reasons are described in
+docs/design/planner.md.
+
+A backend's state is "running", "draining" or "gone". Where only "running" is tested, a backend in either of the other
+states is treated as one that drains. A roll-out replaces many backends within a short time by new ones, which are cold.
 
 Comments refer to these rules: (1) no joined proxy is without a backend to send to for long; (2) no call takes effect
-twice; (3) proxies stop sending to a backend that drains within the grace; (4) no cold backend is pushed over; (5) few
-lines wait in the channel.
+twice; (3) proxies stop sending to a backend that drains within the grace (`Bootstrap.grace`); (4) no cold backend is
+sent so many calls that it fails; (5) few lines wait in the channel. "Known weakness" in a comment names a case in which
+the code as it is may do harm.
 
 What happens when a backend drains or goes:
     `backends_listed` notes it. `update_allocation` leaves it out of the tables. `write_changes` withdraws it, so that
     proxies send it nothing more: at once where that is cheap, else after a short wait for other withdrawals. Where the
-    fleet is divided into subsets, `write_changes` removes its entries from their tables instead, as urgently.
+    fleet is divided into subsets, `write_changes` removes it from the subsets' tables instead, with the same urgency.
     `repeat_withdrawals` covers proxies that join meanwhile. `forget_removed_backends` forgets a backend long gone.
 What happens while a backend is cold:
-    `warmth` is the share of its capacity that a backend of its age can serve. `capacities` and `apply_floor` keep its
-    multiplier within that share. With subsets, `cold_share_factor` lowers it while more is asked than was ever served,
-    and `urgent_entries` finds tables that send a cold backend too much.
+    `warmth` is the share of its capacity that a backend of its age is assumed to serve. `capacities` and `apply_floor`
+    keep its multiplier within that share. With subsets, `cold_share_factor` lowers it while more is asked than was ever
+    served, `subset_members` names it in one table fewer, and `urgent_entries` finds tables that send a cold backend too
+    much. In a roll-out, `capacities` also bounds the capacity that the fleet is believed to have.
 What happens on overload:
     `learn_capacity` lowers the fleet's capacity when answers get slow. `update_allocation` grants each route what the
-    capacity allows, the most important first, and derives the admitted shares. `write_changes` writes these as levels.
+    capacity allows, weighted so that more important routes get far more, and derives the admitted shares.
+    `write_changes` writes these as levels.
 """
 
 import zlib
@@ -45,23 +60,24 @@
 
 # Allocation and learned capacity.
 ASSUMED_LOAD = 0.65  # share of the capacity in use, assumed where no load is reported
-CAPACITY_GROWTH = 1.1  # factor of the capacity for each periodic round that is not slow
+CAPACITY_GROWTH = 1.1  # factor of the capacity per periodic round that is not slow; see `learn_capacity`
 GROWTH_MIN_LEVEL = 0.25  # the capacity grows only where more than this share of it is in use
-MULTIPLIER_FLOOR = 0.1  # least multiplier of a backend, in even shares
+MULTIPLIER_FLOOR = 0.1  # least multiplier of a backend, as a multiple of an equal share of the table
 MAX_ITERATIONS = 10  # of the multiplier loop
-MULTIPLIER_TOLERANCE = 1e-9  # in even shares: the loop has converged where no multiplier moves by more
+# As a multiple of an equal share of the table: the loop has converged where no multiplier moves by this much.
+MULTIPLIER_TOLERANCE = 1e-9
 WEIGHT_TOLERANCE = 0.1  # share by which a weight may be off before it is written again
 LEVEL_TOLERANCE = 0.03  # share by which a level, or what a limited route is granted, may be off
-FILL_SLACK = 1.02  # backends are filled to a common level this much above the least that holds the demand
+FILL_SLACK = 1.02  # factor of the lowest common utilization of the backends that carries the demand
 IMPORTANCE_FACTOR = 8.0  # weight of a route over the next less important one
 SLOW_SLO_SHARE = 0.55  # the fleet is slow where answers take more than this share of the tightest SLO time
-MIN_TRIES_FOR_LOSSES = 4  # tries: up to so many, the losses of a backend are chance
+MIN_TRIES_FOR_LOSSES = 4  # up to so many tries, the losses of a backend count as chance
 QUEUE_DRAIN_SHARE = 0.85  # of the served rate: a slow fleet is given no less; it is below 1 so that queues shorten
 RETRY_SHARE = 0.4  # share of the refused calls that come again
 FEEDBACK_CYCLES = 2  # cycles, beside a report interval, from one drop of the capacity to the next
 SETTLED_CYCLES = 1.5  # cycles, beside a report interval, until a proxy that joined is in the reports
-# Share of the calls that may come from newcomers for capacity to be learned; share of the backends that may be without
-# answers for the fleet to count as known.
+# Two uses. `learn_capacity`: greatest share of the calls that may come from newcomers for capacity to be learned.
+# `bind_waiting_proxies`: greatest share of the backends that may be without answers for the fleet to count as known.
 MAX_UNKNOWN_SHARE = 0.25
 
 # Ejection of backends that never answer.
@@ -73,45 +89,54 @@
 
 # Reports.
 ANSWER_TIME_MEMORY = 40  # answers that the mean answer time of a backend rests on at most
-ANSWER_TIME_PRIOR = 10  # answers that the average of its kind counts for in a backend's answer time
+ANSWER_TIME_PRIOR = 10  # in a backend's answer time, the average of its kind counts like this many answers
 IDLE_LOAD = 0.02  # busy cores: a reported load up to this says nothing about the capacity
-UNLIMITED = 1e6  # calls a second that limit nothing
+UNLIMITED = 1e6  # calls per second that limit nothing
 
 # Rule 2: a call, whatever its effect, is tried again only on proof that its first try never ran.
 RETRY_ONLY_ON_PROOF = 1  # sent with each level
 
-# Shares of the backlog up to which lines may wait in the channel, by what is written.
+# Shares of the backlog up to which lines may wait in the channel, by what is written. `line_budget` applies them to
+# the backlog, or to what the channel sends in half a grace if that is less, and may raise the result by the overhead
+# of many messages.
 BACKLOG_IMMEDIATE = 0.1  # cheap changes outside of periodic rounds
 BACKLOG_WEIGHTS = 0.3  # changes of weights
 BACKLOG_BINDINGS = 0.33  # bindings of proxies to tables
 BACKLOG_SKEWED_TABLES = 0.36  # skewed tables of subsets, while bindings wait
 BACKLOG_LEVELS = 0.75  # admission levels
 BACKLOG_NEW_ENTRIES = 0.5  # entries that a table lacks, and the fallback table
-BACKLOG_MANY_PROXIES = 0.95  # what goes to so many proxies that their messages' overhead alone fills a smaller share
+BACKLOG_MANY_PROXIES = 0.95  # the most, of the whole backlog, that a budget is raised to by messages' overhead
 BACKLOG_WITHDRAWALS = 0.98  # withdrawals and whatever else cannot wait
 
 # Withdrawals, in graces.
 GATHER_GRACES = 0.12  # withdrawals wait this long for others, as each message has an overhead
-RECENT_GRACES = 5  # what went within this is repeated to proxies that join; lines count as waiting for no longer
+# Withdrawals of backends that went within this are repeated to proxies that join. Lines that no proxy acknowledges
+# count as waiting in the channel for this long.
+RECENT_GRACES = 5
 FORGET_GRACES = 20  # a backend that has been gone for this long is forgotten
 
-# The fallback table for proxies that wait for a binding amid a release.
+# The fallback table for proxies that wait for a binding amid a roll-out.
 AT_RISK_SHARE = 0.2  # of the known backends: with more of them withdrawn, waiting proxies get the fallback table
 FALLBACK_TABLE_ENTRIES = 12  # backends in it
 
 # Subsets of the fleet.
-TAKEOVER_FACTOR = 5  # times its even share of the proxies: the most that a coordinator is prepared to serve
-BIND_ALL_GRACES = 0.7  # graces in which all of these have to be bound
+TAKEOVER_FACTOR = 5  # a coordinator is prepared to serve up to this many times its equal share of the proxies
+BIND_ALL_GRACES = 0.7  # the proxies that it is prepared to serve have to be bound within this many graces
 MIN_TABLE_ENTRIES = 8  # least size of a subset's table
 MAX_TABLE_ENTRIES = 30  # greatest size of a subset's table
-MIN_TABLE_SHARE = 0.5  # of a subset's intended table: with less, the subset is widened, or its table cannot wait
+# Two uses. `subset_members`: least share of the intended number of backends in a subset's table; with fewer, the table
+# is widened to further subsets. `urgent_entries`: least share of a table's intended calls that goes to running backends
+# with an entry; with less, the table cannot wait.
+MIN_TABLE_SHARE = 0.5
 
 # Rule 4, cold backends.
-COLD_SAFETY_SHARE = 1 / 2  # of rule 4's multiple of the peak served by size: what cold backends may be sent in a burst
-PEAK_DECAY = 0.99  # factor of that peak for each periodic round
-RELEASE_COLD_SHARE = 0.25  # of the fleet: with more of it cold, a release is under way
-RELEASE_CAPACITY_MULTIPLE = 2.0  # of the peak served by size: what the fleet is believed to serve in a release
-COLD_OVERWEIGHT = 2.0  # a cold backend's share in force, over the decided one, that cannot wait
+# The calls asked of the fleet may reach this share of `Bootstrap.cold_overload_multiple` times the peak served (per
+# unit of size, times the fleet's size) before cold backends' shares are lowered: a burst must not make them fail.
+COLD_SAFETY_SHARE = 1 / 2
+PEAK_DECAY = 0.99  # factor of the peak served per periodic round
+ROLLOUT_COLD_SHARE = 0.25  # of the running backends: with more of them cold, a roll-out is under way
+ROLLOUT_CAPACITY_MULTIPLE = 2.0  # of the peak served (per unit of size): the most the fleet is believed to serve then
+COLD_OVERWEIGHT = 2.0  # ratio of a cold backend's written share to the decided one above which its table cannot wait
 
 # Order in which changes of tables are written.
 (
@@ -125,11 +150,17 @@
 
 
 def waterfill(demands, weights, paths, capacity):
-    """Algorithm 2 of the paper: returns rates f[k][e] of demand k on backend e. Each link is visited once, in
-    ascending order of its first fair share. The size of a demand is a virtual link over all of its paths."""
+    """Algorithm 2 of the paper, in its symbols: returns rates f[k][e] of demand k on backend e.
+
+    `demands`: calls per second by demand. `weights`: weight by demand. `paths`: for each demand {backend e: theta}, its
+    multipliers. `capacity`: calls per second by backend. A demand's weight on a backend, gamma, is its weight times the
+    multiplier. A link is a backend or, for the size of a demand, a virtual link over all of its paths. Each link is
+    visited once, in ascending order of its first fair share."""
     rates = [dict.fromkeys(path, float("inf")) for path in paths]
     gamma = [{e: weights[k] * theta for e, theta in path.items()} for k, path in enumerate(paths)]
-    links, through = [(demands[k], [(k, e) for e in path]) for k, path in enumerate(paths)], {}
+    # Each link is (capacity, the (k, e) that cross it): first the virtual ones, then the backends.
+    links = [(demands[k], [(k, e) for e in path]) for k, path in enumerate(paths)]
+    through = {}  # backend e -> the (k, e) that cross it
     for k, e in [pair for _, crossing in links for pair in crossing]:
         through.setdefault(e, []).append((k, e))
     links += [(capacity[e], crossing) for e, crossing in through.items()]
@@ -158,21 +189,23 @@
         self.message_overhead = bootstrap.message_overhead + 1  # in lines, with the message's number
         self.backends = {}
         self.proxies = {}
-        self.zone_scale = {}  # zone -> factor of what its proxies were served, as proxies join and leave
+        # zone -> running product of the factors by which the demand of its joined proxies changed as proxies joined and
+        # left. Served rates are kept divided by it and are multiplied by it when read, so they follow the membership.
+        self.zone_scale = {}
         self.demand = Demand(len(bootstrap.routes))
         self.users = Users(len(bootstrap.routes))
         self.channel = Channel(self.message_overhead)
         self.layout = Layout(bootstrap.routes, bootstrap.zones)
         self.acknowledged = self.channel.acknowledge  # the event of that name
-        self.tables = {}  # table -> {backend: weight}, as last written
+        self.tables = {}  # table -> {backend: weight}, as last written; weights as the head of this module has them
         self.sent_levels = {}  # route -> admission level, as last written
-        self.theta = {}  # table -> {backend: multiplier}
+        self.theta = {}  # table -> {backend: multiplier}, as decided; the multipliers of a table add up to 1
 
         # Subsets of the fleet that have tables of their own; 0: the fleet is not divided.
         self.subset_count = 0
         self.subset_of_backend = {}
-        self.demand_shares = {}  # table -> share of the demand that its proxies bring
-        self.subset_load = []  # subset -> [calls a second of its proxies, capacity]
+        self.demand_shares = {}  # table -> share of the demand that its proxies bring; empty without subsets
+        self.subset_load = []  # subset -> [calls per second of its proxies, capacity]
 
         self.fallback_backends = []  # entries of the table for proxies that wait for a binding
         self.cold_shares = {}  # cold backend -> its share of the fleet's capacity
@@ -180,14 +213,16 @@
         # Admission by route.
         self.admitted_shares = [1.0] * len(bootstrap.routes)
         self.granted_rates = [0.0] * len(bootstrap.routes)
-        self.recent_shares = [list(self.admitted_shares)] * 3  # of the last periodic rounds; reports show the oldest
+        # Admitted shares of the last periodic rounds, the oldest first. The reports that arrive now are about calls
+        # that were admitted by the oldest.
+        self.recent_shares = [list(self.admitted_shares)] * 3
 
         self.scheduled = []  # heap of (time, sequence, action)
         self.next_periodic_at = None
         self.failed_watches = 0
         self.attempt_totals = [0] * 3  # since the last periodic round: tries, answers, sum of answer times
-        self.ack_number = zlib.crc32(f"{seed}:mark".encode()) % 65536  # differs from an earlier life's numbers
-        self.report_interval = 1.0  # cycles in which all lines of reports come round
+        self.ack_number = zlib.crc32(f"{seed}:mark".encode()) % 65536  # differs from a previous run's numbers
+        self.report_interval = 1.0  # cycles within which every entry has been in a report once
         self.fill_level = 1.0  # share of their capacity to which backends are filled
 
         # What the end of a round has to do.
@@ -197,22 +232,24 @@
         self.bindings_delayed = False  # bindings to subsets did not fit into the channel
 
         # Withdrawals.
-        self.pending_withdrawals = set()  # backends to withdraw again, for proxies that wait for a table
+        self.pending_withdrawals = set()  # withdrawn backends to withdraw again, for proxies that wait for a table
         self.withdraw_at = None  # withdrawals wait for others until then; None: none waits
         self.withdrawals_overdue = False  # withdrawals that were due did not fit into the channel
         self.repeat_scheduled = False
 
         # Learned capacity of the fleet, for the proxies that are joined here.
-        self.fleet_capacity = None  # calls a second; None: not known yet
-        self.capacity_before_overload = 0.0
+        self.fleet_capacity = None  # calls per second; None: not known yet
+        self.capacity_before_overload = 0.0  # the part of it in use when the last overload began; 0.0: no overload yet
         self.fleet_size = 0.0  # sum of the sizes of running backends, each by its warmth
         self.overloaded = False
         self.capacity_dropped_at = 0
-        self.peak_served_by_size = 0.0  # most that was served, divided by the fleet's size
-        self.capacity_ceiling = UNLIMITED  # most that the fleet is believed to serve
+        self.peak_served_by_size = 0.0  # most calls per second that were served, divided by the fleet's size; decays
+        self.capacity_ceiling = UNLIMITED  # most that the fleet is believed to serve in a roll-out
+
+        # Set later: `now` and `writer` by each round, `has_load_reports` by `capacities`.
 
     def round(self, now, events, writer):
-        """Handles one batch of events and writes what follows from them. Once a cycle the round is a periodic one,
+        """Handles one batch of events and writes what follows from them. Once per cycle the round is a periodic one,
         which also learns from reports and adjusts weights and levels."""
         self.now = now
         self.writer = writer
@@ -255,8 +292,9 @@
     # Events
 
     def backends_listed(self, scope, entries):
-        """Discovery's list of backends. `scope` is "whole" (all backends), "held" (all, as known before the start),
-        "changes" (those that changed), or "failed": the watch is then started again after a backoff with jitter."""
+        """Discovery's list of backends. `scope` is "whole" (all backends), "held" (all, from a copy of the list that
+        was kept from before the coordinator's start and may be out of date), "changes" (those that changed), or
+        "failed": the watch is then started again after a backoff with jitter."""
         if scope == "failed":
             self.failed_watches += 1
             self.sequence += 1
@@ -280,8 +318,8 @@
             self.schedule(int(GATHER_GRACES * self.bootstrap.grace), lambda: setattr(self, "allocation_due", True))
 
     def forget_removed_backends(self):
-        """Forgets backends that have been gone for long and that no table names, in all parts of the coordinator at
-        once. Could do harm where one returns under its id: proxies may still hold it as withdrawn."""
+        """Forgets backends that have been gone for long and that no table names, here and, by `Writer.forget`, in the
+        transport, at once. Known weakness: proxies may still hold as withdrawn one that returns under its id."""
         named = set(self.fallback_backends).union(*self.tables.values())
         for b, backend in list(self.backends.items()):
             if backend.state != "gone":
@@ -292,13 +330,14 @@
                 self.writer.forget(b)
 
     def proxy_joined(self, proxy_id, zone, typical_rate, uses_initial_table, inherited=0):
-        """A proxy has joined. `typical_rate`: calls a second, by its own account; `uses_initial_table`: it holds only
-        the backends that it drew at its start; `inherited`: withdrawals that it may still hold from elsewhere."""
+        """A proxy has joined. `typical_rate`: calls per second, by its own account; `uses_initial_table`: it holds only
+        the backends that it drew at its start, no table that a coordinator bound it to; `inherited`: withdrawals that
+        it may still hold from another coordinator."""
         self.proxy_left(proxy_id)
         typical_rate = self.demand.join(proxy_id, zone, typical_rate, self.now)
         self.proxies[proxy_id] = Proxy(proxy_id, zone, typical_rate, self.now, uses_initial_table, inherited)
         self.users.join(proxy_id, self.proxies[proxy_id])
-        self.scale_to_members(zone, typical_rate)
+        self.scale_to_joined_demand(zone, typical_rate)
         if not self.repeat_scheduled:
             self.repeat_scheduled = True
             graces = 0.5 if self.subset_count else GATHER_GRACES
@@ -309,7 +348,7 @@
         self.repeat_scheduled = False
         if self.users.waiting:
             for b in self.recently_withdrawn() - self.pending_withdrawals:
-                self.backends[b].due_since = self.now
+                self.backends[b].due_since = self.now  # the repeat counts as due from now on
                 self.pending_withdrawals.add(b)
                 self.withdraw_at = self.now
                 self.allocation_due = True
@@ -329,11 +368,11 @@
             self.channel.leave(proxy_id)
             self.users.leave(proxy_id, proxy)
             self.demand.leave(proxy_id)
-            self.scale_to_members(proxy.zone, -proxy.call_rate())
+            self.scale_to_joined_demand(proxy.zone, -proxy.call_rate())
 
-    def scale_to_members(self, zone, change):
-        """Scales what was learned from the joined proxies' use as their demand changes by `change` with one that joins
-        or leaves. Could do harm where typical rates were far off."""
+    def scale_to_joined_demand(self, zone, change):
+        """Scales what was learned from the joined proxies' use, as one of them joins or leaves and their demand changes
+        by `change`. Known weakness: typical rates that are far off."""
         total = self.demand.total_rate()
         in_zone = self.demand.zone_rate(zone)
         if total > 0 and total > change:
@@ -346,27 +385,29 @@
                 backend.served_by_zone.get(zone, [0.0])[0] = 0.0
 
     def scale_capacity(self, factor):
+        """Scales the learned capacity, as far as it is known."""
         self.fleet_capacity = self.fleet_capacity and self.fleet_capacity * factor
         self.capacity_before_overload *= factor
 
     def attempts_reported(self, backend_id, zone, tries, unanswered, answer_time, period, load):
         """Tries that proxies of a zone made at a backend within `period`, those without an answer, the mean answer
-        time, and the backend's own load report (busy cores, calls a second) or None."""
+        time, and the backend's own load report (busy cores, calls per second) or None."""
         backend = self.backends.get(backend_id)
         if backend is None or backend.state == "gone" or tries <= 0 or period <= 0:
             return
         answers = max(tries - unanswered, 0)
         decay = 0.5 ** (period / self.bootstrap.cycle)
-        rate = answers * 1e6 / period / self.zone_scale.get(zone, 1.0)
-        fresh = 1.0 - 0.2 ** (period / self.bootstrap.cycle)  # smoothed as demand is, with which it is compared
+        rate = answers * 1e6 / period / self.zone_scale.get(zone, 1.0)  # multiplied by the scale again when read
+        fresh = 1.0 - 0.2 ** (period / self.bootstrap.cycle)  # as in `demand_reported`: the two rates are compared
         known_rate = backend.served_by_zone.get(zone, [rate])[0]
         backend.served_by_zone[zone] = [rate * fresh + known_rate * (1.0 - fresh), self.now]
         backend.record_tries(tries, unanswered, decay)
-        if not backend.ejected:  # what a backend that never answers loses is its own and not the fleet's
+        if not backend.ejected:  # tries at an ejected backend are left out of the fleet's totals
             totals = zip(self.attempt_totals, (tries, answers, answers * answer_time), strict=True)
             self.attempt_totals = [sum(pair) for pair in totals]
         if answers:
             backend.record_answers(answers, answer_time, ANSWER_TIME_MEMORY)
+            # A backend that was ejected counts as starting from now on: see `unexplained_missing`.
             backend.due_since = self.now if backend.ejected else backend.due_since
             backend.ejected = False
         if load and load[0] > IDLE_LOAD:
@@ -382,51 +423,57 @@
         known_rate = proxy.rate_by_route.get(route, proxy.typical_rate * demands[route] / max(sum(demands), 1e-9))
         rate = decay * known_rate + (1 - decay) * calls * 1e6 / period
         proxy.rate_by_route[route] = self.demand.report_rate(proxy_id, route, rate)
-        # Whatever waits for reports counts in report intervals, as many lines are not in every cycle's reports.
+        # Delays of feedback are measured in report intervals, because not every entry is in every cycle's reports.
         cycles = max(period / self.bootstrap.cycle, 1.0)
         self.report_interval += (cycles - self.report_interval) / (4 * len(self.proxies))
 
     def peers_reported_missing(self, backend_id, missing):
-        """Answers of a backend that distinct peers miss. They halve each periodic round in which they are not reported
-        again."""
+        """Answers of a backend that distinct peers miss. The number is halved in each periodic round until it is
+        reported again."""
         if backend_id in self.backends:
             self.backends[backend_id].peer_missing_answers = missing
 
-    # Events that need no handling.
+    # Events that need no handling: a timer only asks for a round, and nothing is decided from the others.
     timer_fired = probe_answered = peer_message_received = slice_given = slice_line = slice_calls = lambda *_: None
 
-    # Health of backends, by symptoms
+    # Health of backends, from tries without an answer
 
     def running(self):
         return {b: backend for b, backend in self.backends.items() if backend.state == "running"}
 
     def bounded_report_interval(self):
-        """Cycles in which all lines of reports come round: as learned, and no less than the stated intake allows."""
-        lines = len(self.proxies) * len(self.bootstrap.routes) + self.demand.active_zone_count() * len(self.running())
+        """Cycles within which every entry has been in a report once: as learned, and no fewer than the stated rate of
+        report lines allows. There is an entry per proxy and route, and one per zone with calls and running backend."""
+        entries = len(self.proxies) * len(self.bootstrap.routes) + self.demand.active_zone_count() * len(self.running())
         stated_rate = self.bootstrap.report_lines_per_second
-        return max(self.report_interval, lines * 1e6 / stated_rate / self.bootstrap.cycle if stated_rate else 0.0)
+        return max(self.report_interval, entries * 1e6 / stated_rate / self.bootstrap.cycle if stated_rate else 0.0)
 
     def eject_silent_backends(self):
-        """Ejects backends that owe more answers than chance accounts for, measured by what the others answered: late
-        reports lower that measure too. Could do harm where one zone's reports fall behind; hence the cap on what is
-        ejected. A single answer brings a backend back."""
-        if not self.attempt_totals[0]:
+        """Ejects backends that miss more answers than chance accounts for. The answers expected of a backend are its
+        share of all answers received, so that late reports lower the expectation as well. Known weakness: the reports
+        of one zone that fall behind; hence the cap on what is ejected. A single answer brings a backend back.
+
+        It reads the totals of the round's reports, which `learn_capacity` resets, and so runs before it."""
+        tries, answers, _ = self.attempt_totals
+        if not tries:
             return
         running = self.running()
         demands = self.demands()
-        expected = {}  # backend -> calls a second by the weights in force
+        expected = {}  # backend -> calls per second, by the weights as last written
         for table, weights in self.tables.items():
             total = sum(w for b, w in weights.items() if b in running)
             for b, w in weights.items():
+                # A table's id modulo the number of routes is its first route.
                 calls = demands[table % len(demands)] * self.demand_shares.get(table, 1.0)
                 expected[b] = expected.get(b, 0.0) + calls * w / max(total, 1e-9)
         expected_total = sum(expected[b] for b in expected if b in running) or 1.0
         bound_share = (len(self.proxies) - len(self.users.unbound)) / max(len(self.proxies), 1)
+        # Size that may still be ejected: a backend that is ejected already (1) takes its whole size off.
         ejectable_size = sum(backend.size * (MAX_EJECTED_SHARE - backend.ejected) for backend in running.values())
         for b, backend in running.items():
             backend.silent_intervals += 1 / self.report_interval
-            backend.missing_answers += self.attempt_totals[1] * bound_share * expected.get(b, 0.0) / expected_total
-            # What peers miss adds to what is missing here. Could do harm where all of them err alike; hence something
+            backend.missing_answers += answers * bound_share * expected.get(b, 0.0) / expected_total
+            # What peers miss adds to what is missing here. Known weakness: peers that all err alike; hence something
             # has to be missing here, too.
             proved_here = (
                 backend.missing_answers > EJECT_MISSING_ANSWERS and backend.silent_intervals >= EJECT_SILENT_INTERVALS
@@ -443,33 +490,37 @@
                 self.writer.log(f"backend {b} shut out: it never answers")
 
     def unexplained_missing(self, backend):
-        """Answers missing beyond those of the periodic round of its last answer; 0 while that is no sign of failure."""
+        """Answers missing since the backend's last answer, not counting the periodic round in which it last answered;
+        0 if they are too few to matter or the backend may still be starting."""
         intervals = backend.silent_intervals - 1 / self.report_interval
-        enough = intervals >= MIN_LOCAL_SILENT_INTERVALS
-        missing = backend.missing_answers * intervals / backend.silent_intervals if enough else 0.0
+        silent_enough = intervals >= MIN_LOCAL_SILENT_INTERVALS
+        missing = backend.missing_answers * intervals / backend.silent_intervals if silent_enough else 0.0
         # A backend may be silent while it starts.
         started = self.warmth(backend) >= 1.0 and self.now - backend.due_since > self.bootstrap.warm_up_time
         return missing if missing >= MIN_LOCAL_MISSING and started else 0.0
 
     def missing_answers(self):
-        """What peers may be told: running backends that miss answers, and how many."""
+        """For peers: the running backends that miss answers, and how many each."""
         return {b: missing for b, backend in self.running().items() if (missing := self.unexplained_missing(backend))}
 
     def warmth(self, backend):
-        """Rule 4: the least share of its capacity that is stated for a cold backend's age; 1.0 once it is warm."""
+        """Rule 4: the share of its capacity that a backend of this age is assumed to serve. From the least share that
+        is stated for its start it rises linearly to 1.0 over the warm-up time. A backend without a start time is
+        warm."""
         age = max(self.now - backend.started, 0) / self.bootstrap.warm_up_time if backend.started else 1.0
         return self.bootstrap.cold_start_capacity + (1 - self.bootstrap.cold_start_capacity) * min(age, 1.0)
 
     # Learned capacity and demand
 
     def demands(self):
-        """Calls a second by route. For newcomers that have not reported yet the typical rate counts, split like the
+        """Calls per second by route. For newcomers that have not reported yet the typical rate counts, split like the
         others' demand."""
         self.demand.update_settled(self.now - self.feedback_delay(SETTLED_CYCLES))
         return self.demand.expected_rates()
 
     def first_try_demands(self):
-        """Demand without the calls that were refused and come again. With them the return from overload would lag."""
+        """Demand without the calls that were refused and come again. With them the recovery from an overload would be
+        slow."""
         return [
             demand * (1.0 - RETRY_SHARE * (1.0 - share))
             for demand, share in zip(self.demands(), self.recent_shares[0], strict=True)
@@ -491,8 +542,9 @@
         answer_time = answer_time_sum / answers if answers else 0.0
         slow_time = SLOW_SLO_SHARE * min(route.slo for route in self.bootstrap.routes)
         if answer_time > slow_time:
-            # Only slow answers tell that the fleet is full. Could do harm where queues at backends are very short.
-            # The capacity drops once and not again until the drop can show in reports. What is served now is possible.
+            # Only slow answers tell that the fleet is full. Known weakness: backends with very short queues.
+            # The capacity drops once and not again until the drop can show in reports. It is never put below what is
+            # served now, lowered a little so that queues shorten.
             capacity = self.fleet_capacity or served
             self.capacity_before_overload = (
                 self.capacity_before_overload if self.overloaded else capacity * self.fill_level
@@ -505,7 +557,8 @@
         elif self.fleet_capacity is None:
             self.fleet_capacity = served / ASSUMED_LOAD
         else:
-            # Half of the way back to what was served before the overload; then a tenth a cycle, more if far from slow.
+            # The capacity grows by a power of CAPACITY_GROWTH, the higher the further answers are from slow, or to
+            # halfway between it and the capacity in use before the overload, whichever is more.
             growth_cycles = min(max(slow_time / max(answer_time, 1.0) - 1.0, 0.5), 3.0)
             growth = CAPACITY_GROWTH**growth_cycles if self.fill_level > GROWTH_MIN_LEVEL else 1.0
             self.overloaded = False
@@ -514,52 +567,61 @@
             )
 
     def capacities(self):
-        """What each running backend can take now, in calls a second: the fleet's capacity, split by the backends' load
-        reports where there are any, else by size over answer time. A backend without answers counts as average for its
-        size among its kind."""
+        """What each running backend can take now, in calls per second: the fleet's capacity, split by the backends'
+        load reports where there are any, else by size over answer time. A backend without answers counts as average for
+        its size among its kind. Ejected backends are given 0. Also updates what follows from these figures: the fleet's
+        size and capacity, the cold backends' shares and the ceiling in a roll-out."""
         running = self.running()
-        parts = {}  # backend -> its part of the fleet's capacity, in any unit
+        parts = {}  # backend -> its part of the fleet's capacity; only the ratios count, unless there are load reports
         has_reports = any(backend.busy_cores for backend in running.values())
         all_tries = max(sum(backend.tries for backend in running.values()), 1e-9)
         fleet_answered = 1.0 - sum(backend.unanswered for backend in running.values()) / all_tries
         for kind in {backend.kind for backend in running.values()}:
-            known = [
+            # The backends that the average of this kind rests on. If it has none with figures, those of all kinds do.
+            measured = [
                 backend for backend in running.values() if (backend.busy_cores if has_reports else backend.answer_count)
             ]
-            known = [backend for backend in known if self.warmth(backend) >= 1.0 or not self.subset_count] or known
-            alike = [backend for backend in known if backend.kind == kind] or known
-            size = sum(backend.size for backend in alike)
-            answers = sum(backend.answer_count for backend in alike)
+            # With subsets, warm ones alone where there are any.
+            measured = [
+                backend for backend in measured if self.warmth(backend) >= 1.0 or not self.subset_count
+            ] or measured
+            of_kind = [backend for backend in measured if backend.kind == kind] or measured
+            size = sum(backend.size for backend in of_kind)
+            answers = sum(backend.answer_count for backend in of_kind)
             capacity_by_size = (
-                sum(backend.reported_capacity(self.zone_scale, self.bootstrap.coordinators) for backend in alike) / size
+                sum(backend.reported_capacity(self.zone_scale, self.bootstrap.coordinators) for backend in of_kind)
+                / size
                 if has_reports
                 else 0.0
             )
             answer_time = (
-                sum(backend.answer_time * backend.answer_count for backend in alike) / answers if answers else 1.0
+                sum(backend.answer_time * backend.answer_count for backend in of_kind) / answers if answers else 1.0
             )
             for b, backend in [(b, backend) for b, backend in running.items() if backend.kind == kind]:
-                average = capacity_by_size * backend.size if has_reports else backend.size / max(answer_time, 1e-9)
+                kind_average = capacity_by_size * backend.size if has_reports else backend.size / max(answer_time, 1e-9)
                 if has_reports:
-                    own = (
+                    own_capacity = (
                         backend.reported_capacity(self.zone_scale, self.bootstrap.coordinators)
                         if backend.busy_cores
-                        else average
+                        else kind_average
                     )
                 else:
                     own_time_sum = backend.answer_count * backend.answer_time + ANSWER_TIME_PRIOR * answer_time
-                    own = backend.size / max(own_time_sum / (backend.answer_count + ANSWER_TIME_PRIOR), 1e-9)
+                    own_capacity = backend.size / max(own_time_sum / (backend.answer_count + ANSWER_TIME_PRIOR), 1e-9)
                 enough_tries = backend.tries > MIN_TRIES_FOR_LOSSES
                 answered = 1.0 - backend.unanswered / backend.tries if enough_tries else 1.0
                 warmth = self.warmth(backend)
                 # Rule 4: whatever it reports itself, a cold backend gets no more than an average warm one.
                 limited = self.subset_count and warmth < 1.0
-                parts[b] = min(own * answered * warmth, average * fleet_answered if limited else float("inf"))
+                most = kind_average * fleet_answered if limited else float("inf")
+                parts[b] = min(own_capacity * answered * warmth, most)
         total = sum(parts.values()) or 1.0
         fleet_size = sum(backend.size * self.warmth(backend) for backend in running.values())
         self.scale_capacity(fleet_size / self.fleet_size if self.fleet_size else 1.0)
         self.fleet_size = fleet_size
-        if has_reports:  # the capacity does not grow beyond what is reported
+        if has_reports:
+            # The capacity is what is reported; after an overload, no more than what was learned either. Until something
+            # was slow, `update_allocation` may still raise it.
             self.fleet_capacity = (
                 min(self.fleet_capacity, total) if self.fleet_capacity and self.capacity_before_overload else total
             )
@@ -567,10 +629,10 @@
             b: parts[b] / total for b, backend in running.items() if self.warmth(backend) < 1.0 and not backend.ejected
         }
         self.has_load_reports = has_reports
-        is_release = self.subset_count and not has_reports and len(self.cold_shares) > RELEASE_COLD_SHARE * len(running)
+        is_rollout = self.subset_count and not has_reports and len(self.cold_shares) > ROLLOUT_COLD_SHARE * len(running)
         self.capacity_ceiling = (
-            RELEASE_CAPACITY_MULTIPLE * self.peak_served_by_size * fleet_size
-            if is_release and self.peak_served_by_size
+            ROLLOUT_CAPACITY_MULTIPLE * self.peak_served_by_size * fleet_size
+            if is_rollout and self.peak_served_by_size
             else UNLIMITED
         )
         self.fleet_capacity = self.fleet_capacity and min(self.fleet_capacity, self.capacity_ceiling)
@@ -580,6 +642,7 @@
     # Allocation: the waterfill decides rates, admitted shares and weights
 
     def eligible_backends(self, route, zone):
+        """The running backends that may serve a route, in one zone or, with `zone` None, in all."""
         may_go = self.bootstrap.routes[route].allows
         return [
             b
@@ -589,18 +652,19 @@
 
     def subset_members(self, eligible, subset):
         """Those of the eligible backends that a subset's table names. A table spans the backends of two subsets, and of
-        more where a route may go to few backends or, rule 4, where a release has left few entries for all of its
-        proxies. A cold backend is in one table fewer, as proxies that avoid full backends turn to it at any weight."""
+        more where a route may go to few backends or, rule 4, where a roll-out has left few entries for all of its
+        proxies. A cold backend is in one table fewer, as proxies redirect calls from full backends to it whatever its
+        weight."""
         if not self.subset_count or not eligible:
             return eligible
-        span = -(-2 * len(self.subset_of_backend) // len(eligible))
+        span = -(-2 * len(self.subset_of_backend) // len(eligible))  # subsets that the table covers, rounded up
         members = []
-        least = min(MIN_TABLE_SHARE * span * len(eligible) / self.subset_count, len(eligible))
-        while len(members) < least:
+        min_members = min(MIN_TABLE_SHARE * span * len(eligible) / self.subset_count, len(eligible))
+        while len(members) < min_members:
             members = [
                 b
                 for b in eligible
-                if (self.subset_of_backend[b] - subset) % self.subset_count < span - (b in self.cold_shares)
+                if (self.subset_of_backend[b] - subset) % self.subset_count < span - (1 if b in self.cold_shares else 0)
             ]
             span += 1
         return members
@@ -608,7 +672,7 @@
     def update_subsets(self):
         """Divides the fleet into subsets with a table each where the channel could not bring full tables in time to all
         proxies that this coordinator may have to serve. A backend is in two tables, so that Algorithm 2 evens out the
-        demand of their proxies. Could do harm where these are few."""
+        demand of their proxies. Known weakness: tables with few proxies."""
         running = self.running()
         bootstrap = self.bootstrap
         proxies = min(TAKEOVER_FACTOR / bootstrap.coordinators, 1.0) * bootstrap.proxies
@@ -655,7 +719,9 @@
         eligible = {
             key: self.eligible_backends(*key) for key in {(routes[0], zone) for _, routes, zone, _ in self.layout}
         }
-        wants, weights, demand_shares = {}, {}, {}  # by (table, route); the same; by table
+        wants = {}  # (table, route) -> calls per second asked for
+        weights = {}  # (table, route) -> weight in the waterfill
+        demand_shares = {}  # table -> share of a route's demand that the table's proxies bring
         self.subset_load = [[0.0, 1e-9] for _ in range(self.subset_count)]
         for table, routes, zone, subset in self.layout:
             paths = self.subset_members(eligible[routes[0], zone], subset)
@@ -689,8 +755,8 @@
             utilization = 1.0
         grants = wants
         if utilization > 1.0:
-            # What each route may have, the important ones first. A route that gets all it wants is limited by no
-            # backend.
+            # What each route may have, the important ones with far more weight. A route that gets all it wants is
+            # limited by no backend.
             rates, _ = self.run_waterfill(wants, weights, capacity)
             grants = {key: sum(rate.values()) for key, rate in rates.items()}
             utilization = self.utilization(grants, capacity)
@@ -712,16 +778,16 @@
 
     def cold_share_factor(self, calls):
         """Rule 4: the factor of a cold backend's share while more is asked than was ever served. It is squared, as
-        proxies also bring a cold backend the calls that full ones refuse. Could do harm where all of a burst can be
-        served."""
+        proxies also bring a cold backend the calls that full ones refuse. Known weakness: a burst that could be served
+        as a whole."""
         overload_multiple = self.bootstrap.cold_overload_multiple
-        most = overload_multiple * COLD_SAFETY_SHARE * self.peak_served_by_size * self.fleet_size
-        applies = self.subset_count and not self.has_load_reports and most and calls
-        return min(most / calls, 1.0) ** 2 if applies else 1.0
+        safe_calls = overload_multiple * COLD_SAFETY_SHARE * self.peak_served_by_size * self.fleet_size
+        applies = self.subset_count and not self.has_load_reports and safe_calls and calls
+        return min(safe_calls / calls, 1.0) ** 2 if applies else 1.0
 
     def utilization(self, wants, capacity):
-        """The share of the capacity that the wants take, of all or of any one table, with a little slack for the
-        multiplier loop."""
+        """The share of the capacity that the wants take: the larger of the whole fleet's and the fullest table's, times
+        FILL_SLACK, which leaves the multiplier loop a little slack."""
         by_table = [
             want / max(sum(capacity[b] for b in self.theta[table]), 1e-9)
             for (table, _), want in sum_by_table(wants).items()
@@ -729,8 +795,8 @@
         return FILL_SLACK * max(*by_table, sum(wants.values()) / max(sum(capacity.values()), 1e-9))
 
     def run_waterfill(self, wants, weights, capacity):
-        """The multiplier loop around Algorithm 2, which starts from the multipliers of the last time. Returns rates and
-        multipliers, both by the keys of `wants`."""
+        """The multiplier loop around Algorithm 2, which starts from the present multipliers of the tables. Returns
+        rates and multipliers, both by the keys of `wants`."""
         keys = list(wants)
         thetas = [self.theta[table] for table, _ in keys]
         for _ in range(MAX_ITERATIONS):
@@ -746,18 +812,19 @@
         return dict(zip(keys, rates, strict=True)), dict(zip(keys, thetas, strict=True))
 
     def apply_floor(self, theta):
-        """Raises multipliers to the design's floor, which also keeps a trickle of calls to ejected backends. Rule 4:
-        cold backends are raised to their share of the capacity and no further."""
-        even = MULTIPLIER_FLOOR / len(theta)
-        raised = {b: max(t, min(even, self.cold_shares.get(b, even))) for b, t in theta.items()}
+        """Raises multipliers to MULTIPLIER_FLOOR, which also keeps a trickle of calls to ejected backends. Rule 4: a
+        cold backend is raised to its share of the fleet's capacity and no further. The multipliers then add up to 1
+        again."""
+        floor = MULTIPLIER_FLOOR / len(theta)
+        raised = {b: max(t, min(floor, self.cold_shares.get(b, floor))) for b, t in theta.items()}
         total = sum(raised.values()) or 1.0
         return {b: t / total for b, t in raised.items()}
 
     # Output: weights, withdrawals, levels, bindings
 
     def admission_level(self, route):
-        """The admitted share of a route; where admission is by rate, the calls a second that, as the same limit for
-        every proxy, admit that share."""
+        """The level of a route by the way of admission: "fraction" is the admitted share; "per_second" is the calls per
+        second that, as the same limit for every proxy, admit that share; "silent" is 1.0, whatever is admitted."""
         if self.bootstrap.admission != "per_second":
             return round(self.admitted_shares[route], 3) if self.bootstrap.admission == "fraction" else 1.0
         demands = self.demands()
@@ -771,24 +838,28 @@
         return round(equal_limit(rates, self.granted_rates[route]), 3)
 
     def set_withdrawn(self, backends, withdrawn, backlog_share):
-        """Withdraws backends or lets them back in, with a line for each at each proxy that may hold them. All are
-        written at once, as every message has an overhead; while no more than half of the backlog waits, as many as fit
-        are written. Returns the backends that remain."""
+        """Withdraws backends or lets them back in, with a line for each at each proxy that may hold them. They share a
+        message, as every message has an overhead. As many as fit are written. None is written if not all fit and more
+        than half of the backlog waits already, or if they can wait and there is no room for all (`has_room`). Returns
+        the backends that remain."""
         changed = [b for b in backends if self.backends[b].withdrawn != withdrawn]  # the others are only repeated
-        # All proxies may hold a backend that a table names; with subsets, only after a withdrawal in an earlier round.
-        # Otherwise only proxies that wait may hold it.
-        named = any(b in weights for b in changed for weights in self.tables.values())
-        named = named and (
+        # Without subsets, all proxies may hold the backends if a table names one of those that change. With subsets,
+        # the withdrawal of one of the backends has to have been sent in an earlier round, too. In all other cases, and
+        # where withdrawals are only repeated, none but the proxies that wait may hold them.
+        is_named = any(b in weights for b in changed for weights in self.tables.values())
+        all_may_hold = is_named and (
             not self.subset_count or any(0 < self.backends[b].withdrawal_sent_at < self.now for b in backends)
         )
-        holders = (self.proxies if named else self.users.waiting).values()
-        since = 0 if changed else min((self.backends[b].withdrawal_sent_at for b in backends), default=0)
-        holders = [proxy for proxy in holders if proxy.joined_at >= since]  # the others were told before
-        space = backlog_share * self.bootstrap.backlog - self.channel.queued_lines
-        count = max(int(space / max(len(holders), 1) - self.message_overhead), 0)
-        full = self.channel.queued_lines > self.bootstrap.backlog / 2 and count < len(backends)
+        holders = (self.proxies if all_may_hold else self.users.waiting).values()
+        # What is only repeated goes to the proxies that have joined since the oldest of the withdrawals was sent: the
+        # others were told then.
+        joined_since = 0 if changed else min((self.backends[b].withdrawal_sent_at for b in backends), default=0)
+        holders = [proxy for proxy in holders if proxy.joined_at >= joined_since]
+        space = backlog_share * self.bootstrap.backlog - self.channel.queued_lines  # a share of the backlog itself
+        count = max(int(space / max(len(holders), 1) - self.message_overhead), 0)  # backends that fit
+        too_full = self.channel.queued_lines > self.bootstrap.backlog / 2 and count < len(backends)
         can_wait = backlog_share < BACKLOG_WITHDRAWALS
-        if full or can_wait and not self.has_room(holders, backlog_share, len(backends)):
+        if too_full or can_wait and not self.has_room(holders, backlog_share, len(backends)):
             return backends
         for b in backends[:count]:
             sent_at = self.now if holders else self.backends[b].withdrawal_sent_at
@@ -799,8 +870,9 @@
         return backends[count:]
 
     def has_room(self, proxies, backlog_share, lines=1, table=None):
-        """Rule 5: whether something that can wait may be written now, `lines` to each of the proxies. Half of the
-        messages that are counted for the message limit stay free for what cannot wait."""
+        """Rule 5: whether something may be written now, `lines` to each of the proxies. `backlog_share` is one of the
+        BACKLOG_ constants; below BACKLOG_WITHDRAWALS it stands for what can wait. Half of the messages that are counted
+        for the message limit stay free for what cannot wait."""
         near_limit = self.channel.near_message_limit(
             proxies, self.now - self.bootstrap.message_limit_window, self.bootstrap.message_limit
         )
@@ -810,19 +882,21 @@
         return self.channel.queued_lines + added <= self.line_budget(backlog_share, len(proxies))
 
     def line_budget(self, backlog_share, proxy_count):
-        """Lines that may wait in the channel when something is written to so many proxies."""
+        """Lines that may wait in the channel when something is written to so many proxies: a share of the backlog or,
+        if that is less, of what the channel sends in half a grace. Except for immediate changes it may be more, up to
+        BACKLOG_MANY_PROXIES, so that the overhead of many messages leaves half of that share for their lines."""
         half_grace_lines = self.bootstrap.channel_lines_per_second * self.bootstrap.grace / 2e6
         budget = backlog_share * min(self.bootstrap.backlog, half_grace_lines)
         with_overhead = budget / 2 + self.message_overhead * proxy_count
         most = BACKLOG_MANY_PROXIES * self.bootstrap.backlog
-        return max(budget, min(with_overhead, most) * (backlog_share > BACKLOG_IMMEDIATE))
+        return max(budget, min(with_overhead, most)) if backlog_share > BACKLOG_IMMEDIATE else budget
 
     def write_changes(self, periodic):
         """Writes what has changed: entries of tables first (rule 1), then withdrawals (rule 3), then levels. What can
         wait is gathered for the periodic round."""
         changes = []  # (priority, negative change of the rate, table, backend, weight)
-        unplaced = set()  # backends with an entry that did not fit into the channel
-        filled = set()  # subsets' tables with an entry written in this round
+        unplaced = set()  # backends with a change of an entry that did not fit into the channel
+        filled = set()  # tables of subsets that had an entry written in this round
         demands = self.demands()
         recently_withdrawn = self.recently_withdrawn()
         has_waiting = bool(self.users.waiting)
@@ -841,30 +915,31 @@
                     usual = MISSING_ENTRY if missing else OTHER_CHANGE
                     priority = EMPTY_TABLE if empty else SKEWED_TABLE if b in urgent else usual
                     changes.append((priority, -abs(weight - old) * rate, table, b, weight))
+            # Without any multipliers, a shared table keeps its entries and a subset's table loses them.
             for b in (b for b in weights if (theta or self.subset_count) and b not in theta):
                 leaving = self.subset_count and self.backends[b].state != "running"
-                usual = OTHER_CHANGE + (b in recently_withdrawn)  # or WITHDRAWN_BACKEND, the next number
+                usual = WITHDRAWN_BACKEND if b in recently_withdrawn else OTHER_CHANGE
                 priority = LEAVING_BACKEND if leaving else SKEWED_TABLE if b in self.cold_shares else usual
-                changes.append((priority, -UNLIMITED, table, b, 0.0))
+                changes.append((priority, -UNLIMITED, table, b, 0.0))  # the first of its priority
         self.entries_missing = self.writes_due = removals_wait = False
         for priority, _, table, b, weight in sorted(changes):
             users = self.users.of_table(table)
             pressing = priority < OTHER_CHANGE
-            gathered = BACKLOG_NEW_ENTRIES if pressing or has_waiting else BACKLOG_WEIGHTS
-            immediate = BACKLOG_IMMEDIATE if pressing else 0.0
-            backlog_share = gathered if periodic else immediate
+            periodic_share = BACKLOG_NEW_ENTRIES if pressing or has_waiting else BACKLOG_WEIGHTS
+            immediate_share = BACKLOG_IMMEDIATE if pressing else 0.0
+            backlog_share = periodic_share if periodic else immediate_share
             if priority == LEAVING_BACKEND or priority == SKEWED_TABLE and not self.bindings_delayed:
                 # Rule 3: proxies that are bound to a subset's table hold no other entries, so this withdraws a backend.
                 backlog_share = BACKLOG_WITHDRAWALS if withdrawals_due else BACKLOG_IMMEDIATE
-            elif self.bindings_delayed and priority:
+            elif self.bindings_delayed and priority != EMPTY_TABLE:
                 skewed = priority == SKEWED_TABLE and periodic
                 backlog_share = min(backlog_share, BACKLOG_SKEWED_TABLES if skewed else BACKLOG_IMMEDIATE)
-            # Entries of an empty table do not wait; in a subset's table, only the first one does not. A table without
-            # proxies takes no lines in the channel.
-            can_wait = priority or table in filled
+            # Entries of an empty table are written without room in the channel; of a subset's empty table, only the
+            # first one is. A table without proxies takes no lines in the channel.
+            can_wait = priority != EMPTY_TABLE or table in filled
             if can_wait and users and not self.has_room(users, backlog_share, 1, table):
                 removals_wait = removals_wait or priority == LEAVING_BACKEND
-                unplaced.add(b)  # it is not let back in either
+                unplaced.add(b)  # its withdrawal is not lifted before the entry is written
                 self.entries_missing = self.entries_missing or priority in (EMPTY_TABLE, MISSING_ENTRY)
                 continue
             filled.update((table,) if self.subset_count else ())
@@ -873,53 +948,60 @@
                 del self.tables[table][b]
             self.writer.set_weight(table, b, weight)
             backend = self.backends[b]
-            backend.withdrawal_sent_at = backend.withdrawal_sent_at or self.now * backend.withdrawn
-            # The proxies may be told to withdraw the backend, or to let it back in, as well.
-            extra = backend.withdrawn or self.subset_count and weight and any(proxy.inherited for proxy in users)
-            self.channel.charge_table(table, 1 + bool(extra), users)
-        returned = [
+            # The message may also tell the proxies to withdraw the backend or, if they inherited its withdrawal, to let
+            # it back in. That takes another line.
+            backend.withdrawal_sent_at = backend.withdrawal_sent_at or (self.now if backend.withdrawn else 0)
+            may_need_withdrawal_line = backend.withdrawn or (
+                self.subset_count and weight and any(proxy.inherited for proxy in users)
+            )
+            self.channel.charge_table(table, 1 + bool(may_need_withdrawal_line), users)
+        to_restore = [
             b
             for b, backend in self.backends.items()
             if backend.withdrawn and backend.state == "running" and b not in unplaced
         ]
-        # Those not withdrawn yet, and those to be withdrawn again while proxies wait.
-        stopped = [
+        # Those that are not withdrawn yet and, while proxies wait, those to be withdrawn again.
+        to_withdraw = [
             b
             for b, backend in self.backends.items()
-            if backend.state != "running" and backend.withdrawn <= (has_waiting and b in self.pending_withdrawals)
+            if backend.state != "running" and (not backend.withdrawn or (has_waiting and b in self.pending_withdrawals))
         ]
-        stopped.sort(key=lambda b: (self.backends[b].due_since, b))
+        to_withdraw.sort(key=lambda b: (self.backends[b].due_since, b))
         if self.subset_count:
-            # Proxies that are bound lose the entry instead; a binding withdraws all that is withdrawn, for fewer lines.
-            held = set().union(*self.tables.values())
-            # Proxies are stuck that have waited for a cycle although the channel has room, as no table exists for them.
+            # Proxies that are bound lose the entry instead. The message that binds a proxy also withdraws what is
+            # withdrawn of its tables' backends, which takes fewer lines than separate withdrawals. So there are none
+            # for backends that a table names, nor while proxies wait for a binding, unless these are stuck.
+            named = set().union(*self.tables.values())
+            # The proxies count as stuck if the first of them has waited for over a cycle although bindings were not
+            # delayed: no table exists for it. Only the first one is looked at.
             first_waiting = next(iter(self.users.waiting.values()), None)
             stuck = (
                 first_waiting
                 and not self.bindings_delayed
                 and self.now - first_waiting.joined_at > self.bootstrap.cycle
             )
-            stopped = [b for b in stopped if b not in held and (stuck or not has_waiting)]
+            to_withdraw = [b for b in to_withdraw if b not in named and (stuck or not has_waiting)]
         backlog_share = BACKLOG_WITHDRAWALS if withdrawals_due else BACKLOG_IMMEDIATE
-        repeated = [b for b in stopped if self.backends[b].withdrawn]
-        rest = self.set_withdrawn([b for b in stopped if b not in repeated], True, backlog_share)
-        rest = rest + self.set_withdrawn(repeated, True, backlog_share)
-        self.pending_withdrawals.intersection_update(rest)
-        self.withdrawals_overdue = withdrawals_due and bool(rest)
-        self.withdraw_at = self.withdraw_at if rest or removals_wait else None
+        repeated = [b for b in to_withdraw if self.backends[b].withdrawn]
+        remaining = self.set_withdrawn([b for b in to_withdraw if b not in repeated], True, backlog_share)
+        remaining = remaining + self.set_withdrawn(repeated, True, backlog_share)
+        self.pending_withdrawals.intersection_update(remaining)
+        self.withdrawals_overdue = withdrawals_due and bool(remaining)
+        self.withdraw_at = self.withdraw_at if remaining or removals_wait else None
         if self.withdrawals_overdue or removals_wait:
             self.schedule(
                 self.bootstrap.cycle // 10,
                 lambda: setattr(self, "writes_due" if self.subset_count else "allocation_due", True),
             )
-        self.set_withdrawn(returned, False, BACKLOG_WITHDRAWALS if periodic else BACKLOG_IMMEDIATE)
+        self.set_withdrawn(to_restore, False, BACKLOG_WITHDRAWALS if periodic else BACKLOG_IMMEDIATE)
         for route in range(len(self.bootstrap.routes)):
             level = self.admission_level(route)
             old = self.sent_levels.get(route, -1.0)
             proxies = self.proxies.values()
             # Rule 4: calls meant for backends without an entry are not admitted. This holds for all tables, as some
             # proxies are not bound yet.
-            level = round(level * self.share_in_force(route), 3)
+            level = round(level * self.share_with_entries(route), 3)
+            # A level that is 1.0 again is written however little it moved; a route's first one needs no room.
             moved = periodic and (abs(level - old) > LEVEL_TOLERANCE * old or level == 1.0 != old)
             backlog_share = BACKLOG_IMMEDIATE if self.bindings_delayed else BACKLOG_LEVELS
             if old < 0.0 or moved and self.has_room(proxies, backlog_share):
@@ -928,42 +1010,49 @@
                 self.channel.charge(proxies)
 
     def urgent_entries(self, theta, weights):
-        """Rule 4: the entries of a subset's table that cannot wait: all of a table that brings a cold backend far more
-        than its decided share, or of which less than half is in force. Could do harm by taking the channel from
-        bindings."""
-        in_force = {b: w for b, w in weights.items() if self.backends[b].state == "running"}
-        most = COLD_OVERWEIGHT * sum(in_force.values())
-        overweight = {b for b in theta.keys() & self.cold_shares.keys() if in_force.get(b, 0.0) > most * theta[b]}
+        """Rule 4: the entries of a subset's table that cannot wait, all or none of them. They cannot where the written
+        weights bring a cold backend far more than its decided share, or where running backends with an entry make up
+        less than MIN_TABLE_SHARE of the decided shares. Known weakness: they take the channel from bindings."""
+        written = {b: w for b, w in weights.items() if self.backends[b].state == "running"}
+        most = COLD_OVERWEIGHT * sum(written.values())
+        overweight = {b for b in theta.keys() & self.cold_shares.keys() if written.get(b, 0.0) > most * theta[b]}
         return (
             theta
-            if self.subset_count and (overweight or sum(t for b, t in theta.items() if b in in_force) < MIN_TABLE_SHARE)
+            if self.subset_count and (overweight or sum(t for b, t in theta.items() if b in written) < MIN_TABLE_SHARE)
             else ()
         )
 
-    def share_in_force(self, route):
-        """The share of a route's rates that is meant for backends that have an entry and are not withdrawn."""
-        total = in_force = 0.0
+    def share_with_entries(self, route):
+        """The share of a route's decided rates that is meant for backends that have an entry and are not withdrawn; 1.0
+        where that is nearly all."""
+        total = with_entries = 0.0
         for table in (table for table, routes, *_ in self.layout if route in routes):
             for b, t in self.theta.get(table, {}).items():
                 rate = t * self.demand_shares.get(table, 1.0)
                 total += rate
-                in_force += rate if b in self.tables[table] and not self.backends[b].withdrawn else 0.0
-        return in_force / total if in_force < (1.0 - LEVEL_TOLERANCE) * total else 1.0
+                with_entries += rate if b in self.tables[table] and not self.backends[b].withdrawn else 0.0
+        return with_entries / total if with_entries < (1.0 - LEVEL_TOLERANCE) * total else 1.0
 
     def bind_to_fallback_table(self, waiting):
-        """Rule 1: a release takes away the backends that proxies drew at their start. Proxies that wait for a binding
-        get a small table of warm backends meanwhile. Could do harm by overloading these."""
-        open_to_all = set.intersection(
+        """Rule 1: a roll-out takes away the backends that proxies drew at their start. Proxies that wait for a binding
+        get a small table of warm backends meanwhile, which may serve all routes. `waiting`: proxy -> the routes that it
+        waits for. Known weakness: these backends may be overloaded."""
+        serve_all_routes = set.intersection(
             *(set(self.eligible_backends(route, None)) for route in range(len(self.bootstrap.routes)))
         )
-        able = {b for b in open_to_all if self.warmth(self.backends[b]) >= 1.0 and not self.backends[b].withdrawn}
-        table = len(self.bootstrap.routes) * (1 + self.bootstrap.zones)  # the first number that the layout leaves free
+        usable = {
+            b for b in serve_all_routes if self.warmth(self.backends[b]) >= 1.0 and not self.backends[b].withdrawn
+        }
+        fallback_table = len(self.bootstrap.routes) * (
+            1 + self.bootstrap.zones
+        )  # the first id that `Layout` never uses
         users = [proxy for proxy in self.proxies.values() if proxy.on_fallback_table]
-        added = sorted(able - set(self.fallback_backends), key=lambda b: (-self.theta.get(0, {}).get(b, 0.0), b))
-        too_few = 2 * len(able & set(self.fallback_backends)) < FALLBACK_TABLE_ENTRIES
+        # By descending multiplier in table 0, the shared table of route 0; without that table, by id.
+        added = sorted(usable - set(self.fallback_backends), key=lambda b: (-self.theta.get(0, {}).get(b, 0.0), b))
+        too_few = 2 * len(usable & set(self.fallback_backends)) < FALLBACK_TABLE_ENTRIES
         for b in added[:FALLBACK_TABLE_ENTRIES] if too_few else ():
             if self.has_room(users, BACKLOG_NEW_ENTRIES):
-                self.writer.set_weight(table, b, 1.0)
+                self.writer.set_weight(fallback_table, b, 1.0)
                 self.channel.charge(users)
                 self.fallback_backends.append(b)
         for proxy_id, routes in waiting.items() if self.fallback_backends else ():
@@ -971,29 +1060,33 @@
             cost = self.binding_cost(self.fallback_backends, self.proxies[proxy_id])
             routes = [route for route in routes if not self.bootstrap.routes[route].own_zone]
             if routes and not proxy.on_fallback_table and self.has_room([proxy], BACKLOG_NEW_ENTRIES, cost):
-                self.writer.bind(proxy_id, table, routes)
+                self.writer.bind(proxy_id, fallback_table, routes)
                 proxy.on_fallback_table = True
                 self.channel.charge([proxy], cost)
 
     def binding_cost(self, backends, proxy, withdrawn=None):
-        """Lines of a message that binds a proxy to a table of these backends: levels, entries, withdrawals, and
-        inherited withdrawals that are lifted. `withdrawn`: how many of the backends are, where that is known."""
-        most = len(backends) if self.subset_count else proxy.inherited
-        lifted = 0 if proxy.bound_tables or proxy.on_fallback_table else min(proxy.inherited, most)
+        """Lines of a message that binds a proxy to a table of these backends: the binding, levels, entries,
+        withdrawals, and inherited withdrawals that are lifted. These are withdrawals that the proxy holds from another
+        coordinator; its first binding here lifts them, with subsets only those of the table's backends. `withdrawn`:
+        how many of the backends are withdrawn, if the caller knows."""
+        liftable = len(backends) if self.subset_count else proxy.inherited
+        lifted = 0 if proxy.bound_tables or proxy.on_fallback_table else min(proxy.inherited, liftable)
         withdrawn = sum(self.backends[b].withdrawn for b in backends) if withdrawn is None else withdrawn
         return 1 + len(self.bootstrap.routes) + len(backends) + withdrawn + lifted
 
     def bind_waiting_proxies(self):
-        """Binds proxies that wait to the shared tables, after withdrawals and after entries of tables without any."""
+        """Binds the waiting proxies to the shared tables or, with subsets, to those of a subset, once no withdrawal and
+        no missing entry waits to be written. Without waiting proxies the fallback table is cleared."""
         self.bindings_delayed = False
         if not self.users.waiting:
             while self.fallback_backends:
-                table = len(self.bootstrap.routes) * (1 + self.bootstrap.zones)
-                self.writer.set_weight(table, self.fallback_backends.pop(), 0.0)
+                # The id as in `bind_to_fallback_table`.
+                fallback_table = len(self.bootstrap.routes) * (1 + self.bootstrap.zones)
+                self.writer.set_weight(fallback_table, self.fallback_backends.pop(), 0.0)
             return
         demands = self.demands()
-        candidates = []  # heap of (holds ordered tables, negative rate for each line, proxy, table, route)
-        delayed = {}  # proxy -> routes
+        candidates = []  # heap of (has a coordinator's tables, negative rate per entry, proxy, table, route)
+        delayed = {}  # proxy -> routes whose binding does not go out in this round
         withdrawn = len(self.recently_withdrawn())
         running = self.running().values()
         fleet_unknown = self.fleet_capacity is None or (
@@ -1007,27 +1100,31 @@
             if self.tables.get(table)
         ]
         use_fallback = self.withdraw_at is None and withdrawn > AT_RISK_SHARE * (withdrawn + len(running))
-        least = 1 + len(self.bootstrap.routes) + min((entries for *_, entries in tables), default=0)
-        if not tables or not use_fallback and self.bindings_blocked(least):
+        min_lines = 1 + len(self.bootstrap.routes) + min((entries for *_, entries in tables), default=0)
+        if not tables or not use_fallback and self.bindings_blocked(min_lines):
             return
         for proxy_id, proxy in self.users.waiting.items():
             early = self.now - proxy.joined_at < self.feedback_delay(FEEDBACK_CYCLES)
-            has_ordered_tables = not proxy.uses_initial_table
-            if has_ordered_tables and fleet_unknown and early and withdrawn < (withdrawn + len(running)) / 2:
-                continue  # after a crash, the tables of a coordinator that knew the fleet are better
+            has_coordinator_tables = not proxy.uses_initial_table  # some coordinator has bound it before
+            if has_coordinator_tables and fleet_unknown and early and withdrawn < (withdrawn + len(running)) / 2:
+                continue  # after a crash, the tables from a coordinator that knew the fleet are better than new ones
             rate = proxy.call_rate()
             for table, route, zone, entries in tables:
                 if table not in proxy.bound_tables and zone in (None, proxy.zone):
-                    candidates.append((has_ordered_tables, -rate * demands[route] / entries, proxy_id, table, route))
+                    candidates.append(
+                        (has_coordinator_tables, -rate * demands[route] / entries, proxy_id, table, route)
+                    )
         withdrawn_in_table = {
             table: sum(self.backends[b].withdrawn for b in self.tables[table]) for table, *_ in tables
         }
         heapify(candidates)
-        while candidates and (use_fallback or not self.bindings_blocked(least)):
+        # With the fallback table, candidates are gone through while bindings are blocked, too: they are then delayed
+        # and get that table.
+        while candidates and (use_fallback or not self.bindings_blocked(min_lines)):
             _, _, proxy_id, table, route = heappop(candidates)
             proxy = self.proxies[proxy_id]
             cost = self.binding_cost(self.tables[table], self.proxies[proxy_id], withdrawn_in_table[table])
-            if self.bindings_blocked(least) or not self.has_room([proxy], BACKLOG_BINDINGS, cost):
+            if self.bindings_blocked(min_lines) or not self.has_room([proxy], BACKLOG_BINDINGS, cost):
                 delayed.setdefault(proxy_id, []).append(route)
                 continue
             self.writer.bind(proxy_id, table, (route,))
@@ -1038,7 +1135,8 @@
             self.bind_to_fallback_table(delayed)
 
     def bind_to_subsets(self):
-        """Binds each proxy that waits to the subset with the lowest load, in the order of joining."""
+        """Binds each proxy that waits to the subset with the lowest load, in the order of joining. A round looks at no
+        more proxies than it takes to fill the backlog with their messages' overhead alone."""
         for proxy_id, proxy in list(
             islice(self.users.waiting.items(), int(self.bootstrap.backlog // self.message_overhead))
         ):
@@ -1061,14 +1159,15 @@
             for table, routes in tables:
                 self.writer.bind(proxy_id, table, tuple(routes), True)
                 self.users.bind(proxy_id, proxy, table)
-            self.channel.charge([proxy], cost * bool(tables))
+            self.channel.charge([proxy], cost if tables else 0)
             self.channel.exclude_new_binding(proxy, [table for table, _ in tables])
-            self.subset_load[proxy.subset][0] += proxy.call_rate() * bool(tables)
+            self.subset_load[proxy.subset][0] += proxy.call_rate() if tables else 0.0
 
-    def bindings_blocked(self, least):
-        """Whether not even the smallest binding, of `least` lines, may be written now."""
-        pressing = self.entries_missing or self.withdrawals_overdue or self.withdraw_at is not None
-        return pressing or self.channel.queued_lines + least > self.line_budget(BACKLOG_BINDINGS, 1)
+    def bindings_blocked(self, min_lines):
+        """Whether not even the smallest binding, of `min_lines` lines, may be written now, because there is no room or
+        because missing entries or withdrawals go first."""
+        others_first = self.entries_missing or self.withdrawals_overdue or self.withdraw_at is not None
+        return others_first or self.channel.queued_lines + min_lines > self.line_budget(BACKLOG_BINDINGS, 1)
 
     def finish_round(self):
         """Asks the proxies that get a message to acknowledge it, and hands the round's lines to the channel's count."""
