--- a/cranecleat/interface.py
+++ b/cranecleat/interface.py
@@ -61,9 +61,9 @@
 
     def bind(self, proxy: int, table: int, routes: Iterable[int], is_subset: bool = False) -> None:
         """Binds routes of a proxy to a table. The message also withdraws those of the table's backends that are
-        withdrawn, and lifts withdrawals that the proxy holds but that are not in force here. `is_subset`: the table
-        names few of the backends, and withdrawals that the proxy got from another coordinator are lifted for these
-        backends only."""
+        withdrawn, and lifts withdrawals that the proxy holds of backends that are not. `is_subset`: the table names few
+        of the backends, and withdrawals that the proxy got from another coordinator are lifted for these backends
+        only."""
         ...
 
     def withdraw(self, backend: int, withdrawn: bool) -> None:
--- a/cranecleat/policy.py
+++ b/cranecleat/policy.py
@@ -402,7 +402,7 @@
         known_rate = backend.served_by_zone.get(zone, [rate])[0]
         backend.served_by_zone[zone] = [rate * fresh + known_rate * (1.0 - fresh), self.now]
         backend.record_tries(tries, unanswered, decay)
-        if not backend.ejected:  # tries at an ejected backend are left out of the fleet's totals
+        if not backend.ejected:  # what an ejected backend loses is its own: the fleet's totals leave its tries out
             totals = zip(self.attempt_totals, (tries, answers, answers * answer_time), strict=True)
             self.attempt_totals = [sum(pair) for pair in totals]
         if answers:
@@ -468,7 +468,8 @@
                 expected[b] = expected.get(b, 0.0) + calls * w / max(total, 1e-9)
         expected_total = sum(expected[b] for b in expected if b in running) or 1.0
         bound_share = (len(self.proxies) - len(self.users.unbound)) / max(len(self.proxies), 1)
-        # Size that may still be ejected: a backend that is ejected already (1) takes its whole size off.
+        # Size that may still be ejected: MAX_EJECTED_SHARE of all size, less that of the backends that are ejected
+        # already (`ejected` counts as 0 or 1).
         ejectable_size = sum(backend.size * (MAX_EJECTED_SHARE - backend.ejected) for backend in running.values())
         for b, backend in running.items():
             backend.silent_intervals += 1 / self.report_interval
@@ -862,6 +863,7 @@
         if too_full or can_wait and not self.has_room(holders, backlog_share, len(backends)):
             return backends
         for b in backends[:count]:
+            # Where no proxy has to be told, nothing counts as sent now.
             sent_at = self.now if holders else self.backends[b].withdrawal_sent_at
             self.backends[b].withdrawn = withdrawn
             self.backends[b].withdrawal_sent_at = sent_at if withdrawn else 0
@@ -870,9 +872,9 @@
         return backends[count:]
 
     def has_room(self, proxies, backlog_share, lines=1, table=None):
-        """Rule 5: whether something may be written now, `lines` to each of the proxies. `backlog_share` is one of the
-        BACKLOG_ constants; below BACKLOG_WITHDRAWALS it stands for what can wait. Half of the messages that are counted
-        for the message limit stay free for what cannot wait."""
+        """Rule 5: whether something may be written now, `lines` to each of the proxies. `backlog_share` is a
+        share as the BACKLOG_ constants are; below BACKLOG_WITHDRAWALS it stands for what can wait. Half of the messages
+        that are counted for the message limit stay free for what cannot wait."""
         near_limit = self.channel.near_message_limit(
             proxies, self.now - self.bootstrap.message_limit_window, self.bootstrap.message_limit
         )
@@ -920,7 +922,7 @@
                 leaving = self.subset_count and self.backends[b].state != "running"
                 usual = WITHDRAWN_BACKEND if b in recently_withdrawn else OTHER_CHANGE
                 priority = LEAVING_BACKEND if leaving else SKEWED_TABLE if b in self.cold_shares else usual
-                changes.append((priority, -UNLIMITED, table, b, 0.0))  # the first of its priority
+                changes.append((priority, -UNLIMITED, table, b, 0.0))  # sorts first within its priority
         self.entries_missing = self.writes_due = removals_wait = False
         for priority, _, table, b, weight in sorted(changes):
             users = self.users.of_table(table)
@@ -934,8 +936,8 @@
             elif self.bindings_delayed and priority != EMPTY_TABLE:
                 skewed = priority == SKEWED_TABLE and periodic
                 backlog_share = min(backlog_share, BACKLOG_SKEWED_TABLES if skewed else BACKLOG_IMMEDIATE)
-            # Entries of an empty table are written without room in the channel; of a subset's empty table, only the
-            # first one is. A table without proxies takes no lines in the channel.
+            # Entries of an empty table are written even without room in the channel; of a subset's empty table, only
+            # the first one is. A table without proxies takes no lines in the channel.
             can_wait = priority != EMPTY_TABLE or table in filled
             if can_wait and users and not self.has_room(users, backlog_share, 1, table):
                 removals_wait = removals_wait or priority == LEAVING_BACKEND
@@ -1010,9 +1012,9 @@
                 self.channel.charge(proxies)
 
     def urgent_entries(self, theta, weights):
-        """Rule 4: the entries of a subset's table that cannot wait, all or none of them. They cannot where the written
-        weights bring a cold backend far more than its decided share, or where running backends with an entry make up
-        less than MIN_TABLE_SHARE of the decided shares. Known weakness: they take the channel from bindings."""
+        """Rule 4: the entries of a subset's table that cannot wait: all of a table whose written weights bring a cold
+        backend far more than its decided share, or in which running backends with an entry make up less than
+        MIN_TABLE_SHARE of the decided shares; else none. Known weakness: they take the channel from bindings."""
         written = {b: w for b, w in weights.items() if self.backends[b].state == "running"}
         most = COLD_OVERWEIGHT * sum(written.values())
         overweight = {b for b in theta.keys() & self.cold_shares.keys() if written.get(b, 0.0) > most * theta[b]}
@@ -1043,11 +1045,10 @@
         usable = {
             b for b in serve_all_routes if self.warmth(self.backends[b]) >= 1.0 and not self.backends[b].withdrawn
         }
-        fallback_table = len(self.bootstrap.routes) * (
-            1 + self.bootstrap.zones
-        )  # the first id that `Layout` never uses
+        # The first id that a `Layout` without subsets does not use.
+        fallback_table = len(self.bootstrap.routes) * (1 + self.bootstrap.zones)
         users = [proxy for proxy in self.proxies.values() if proxy.on_fallback_table]
-        # By descending multiplier in table 0, the shared table of route 0; without that table, by id.
+        # By descending multiplier in table 0, the shared table of route 0 for all zones; without that table, by id.
         added = sorted(usable - set(self.fallback_backends), key=lambda b: (-self.theta.get(0, {}).get(b, 0.0), b))
         too_few = 2 * len(usable & set(self.fallback_backends)) < FALLBACK_TABLE_ENTRIES
         for b in added[:FALLBACK_TABLE_ENTRIES] if too_few else ():
