--- a/benchmarks/files.py
+++ b/benchmarks/files.py
@@ -26,7 +26,7 @@
 from cranecleat.files.ledger import Ledger
 from cranecleat.files.recover import scan_folder
 from cranecleat.memory.streams import Streams
-from cranecleat.rehearsal.day import Day, surge
+from cranecleat.rehearsal.day import Day, rolling_release
 
 ROUTES = ("read", "new-address")
 LINES = 30  # of a table
@@ -288,11 +288,11 @@
 
 def day(job):
     seed, more = job
-    return Day(surge(seed, **more)).run()
+    return Day(rolling_release(seed, **more)).run()
 
 
 def days(pool, seeds):
-    kinds = {"streams": {}, "files": {"files": True}, "over_and_back": {"over": True}}
+    kinds = {"streams": {}, "files": {"files": True}, "over_and_back": {"streams_fail": True}}
     found = list(pool.map(day, [(seed, more) for seed in seeds for more in kinds.values()]))
     told = {}
     for i, kind in enumerate(kinds):
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -20,9 +20,9 @@
 from cranecleat.gossip.bridge import backend_key
 from cranecleat.gossip.roster import Member, Roster, member_number
 from cranecleat.gossip.seal import Signer
-from cranecleat.rehearsal.day import EPOCH, GOSSIP, Day, swallowing
+from cranecleat.rehearsal.day import GOSSIP_STEP_US, START_UNIX_SECONDS, Day, swallowing
 from cranecleat.rehearsal.network import Network, Token, TokenChecker
-from cranecleat.rehearsal.world import SECOND, World
+from cranecleat.rehearsal.world import SECOND, Simulation
 
 AIMS = {"sooner": 0.5, "service": -0.005}  # time to shut out, with over without; least difference of service
 
@@ -31,25 +31,27 @@
     """Agents on a simulated network, without planners: how fast and at what pace one claim reaches all."""
 
     def __init__(self, peers, seed, lost=0.0):
-        self.world = World(seed)
-        self.network = Network(self.world, lost=lost)
+        self.simulation = Simulation(seed)
+        self.network = Network(self.simulation, loss=lost)
         names = [f"n{i}" for i in range(peers)]
         members = [Member(name, (name, 1), (Token(name).public,)) for name in names]
         self.agents = {}
         for i, name in enumerate(names):
             roster = Roster("spread", name, members)
-            self.agents[name] = Agent(roster, Token(name), f"{seed}:{name}", EPOCH, 0, checker=TokenChecker(roster))
-            self.network.ends[name, 1] = lambda data, sender, name=name: self.network.send(
-                (name, 1), self.agents[name].received(self.world.now, self.unix(), data, sender)
+            self.agents[name] = Agent(
+                roster, Token(name), f"{seed}:{name}", START_UNIX_SECONDS, 0, checker=TokenChecker(roster)
             )
-            self.world.after(GOSSIP * (1 + i / peers), self.step, name)
+            self.network.receivers[name, 1] = lambda data, sender, name=name: self.network.send(
+                (name, 1), self.agents[name].received(self.simulation.now, self.unix(), data, sender)
+            )
+            self.simulation.call_after(GOSSIP_STEP_US * (1 + i / peers), self.step, name)
 
     def unix(self):
-        return EPOCH + self.world.now / SECOND
+        return START_UNIX_SECONDS + self.simulation.now / SECOND
 
     def step(self, name):
-        self.network.send((name, 1), self.agents[name].tick(self.world.now, self.unix()))
-        self.world.after(GOSSIP, self.step, name)
+        self.network.send((name, 1), self.agents[name].tick(self.simulation.now, self.unix()))
+        self.simulation.call_after(GOSSIP_STEP_US, self.step, name)
 
     def heard(self, origin, key):
         return sum(
@@ -60,22 +62,22 @@
 
     def measure(self):
         """Seconds until all have heard a claim; then bytes a second and peer while all claim all the time."""
-        start, key = 15 * SECOND + self.world.seed % 7 * SECOND // 10, backend_key("s-1", 0)
-        self.world.run(start)
+        start, key = 15 * SECOND + self.simulation.seed % 7 * SECOND // 10, backend_key("s-1", 0)
+        self.simulation.run(start)
         self.agents["n0"].observe(start, {key: 6.0})
-        while self.heard("n0", key) < len(self.agents) and self.world.now < start + 30 * SECOND:
-            self.world.run(self.world.now + SECOND // 20)
-        took = (self.world.now - start) / SECOND
-        chance, sent = random.Random(self.world.seed), {n: a.counts["sent_bytes"] for n, a in self.agents.items()}
-        busy = self.world.now
+        while self.heard("n0", key) < len(self.agents) and self.simulation.now < start + 30 * SECOND:
+            self.simulation.run(self.simulation.now + SECOND // 20)
+        took = (self.simulation.now - start) / SECOND
+        chance, sent = random.Random(self.simulation.seed), {n: a.counts["sent_bytes"] for n, a in self.agents.items()}
+        busy = self.simulation.now
         for _ in range(10):
             for one in self.agents.values():
                 one.observe(
-                    self.world.now,
+                    self.simulation.now,
                     {backend_key(f"s-{chance.randrange(40)}", 0): chance.uniform(2, 9) for _ in range(10)},
                 )
-            self.world.run(self.world.now + SECOND)
-        span = (self.world.now - busy) / SECOND
+            self.simulation.run(self.simulation.now + SECOND)
+        span = (self.simulation.now - busy) / SECOND
         return took, max(a.counts["sent_bytes"] - sent[n] for n, a in self.agents.items()) / span
 
 
@@ -130,7 +132,7 @@
     names = [f"n{i}" for i in range(4)]
     signers = {name: Signer(name.encode().ljust(32, b".")) for name in names}
     members = [Member(name, (name, 1), (signers[name].public,)) for name in names]
-    agents = {name: Agent(Roster("g", name, members), signers[name], name, EPOCH, 0) for name in names}
+    agents = {name: Agent(Roster("g", name, members), signers[name], name, START_UNIX_SECONDS, 0) for name in names}
     victim, forger, honest = agents["n0"], agents["n3"], agents["n1"]
     tried = refused = 0
     chance = random.Random(4)
@@ -138,16 +140,18 @@
     for n in range(300):
         now = n * SECOND
         if n % 3 == 0:  # in another's name
-            head = wire.Header(forger.roster.tag, member_number("n1"), 0, EPOCH, 10_000 + n, wire.Kind.RUMOUR, 0, 0, 0)
+            head = wire.Header(
+                forger.roster.tag, member_number("n1"), 0, START_UNIX_SECONDS, 10_000 + n, wire.Kind.RUMOUR, 0, 0, 0
+            )
             data = wire.pack(head, (), None)
             data += forger.signer.sign(seal.DATAGRAM, forger.roster.digest, data)
         else:
             good = honest.send(now, honest.rumour_bucket, member_number("n0"), wire.Kind.RUMOUR)[0][1]
             kept.append(good)
-            victim.received(now, EPOCH, good, ("n1", 1))
+            victim.received(now, START_UNIX_SECONDS, good, ("n1", 1))
             data = chance.choice(kept) if n % 3 == 1 else good[:30] + bytes([good[30] ^ 1]) + good[31:]
         before = victim.refused.total()
-        victim.received(now, EPOCH, data, ("n1", 1))
+        victim.received(now, START_UNIX_SECONDS, data, ("n1", 1))
         tried, refused = tried + 1, refused + victim.refused.total() - before
     return tried, refused
 
@@ -157,7 +161,7 @@
     names = [f"n{i}" for i in range(20)]
     signers = {name: Signer(name.encode().ljust(32, b".")) for name in names}
     members = [Member(name, (name, 1), (signers[name].public,)) for name in names]
-    honest = Agent(Roster("g", "n1", members), signers["n1"], "n1", EPOCH, 0)
+    honest = Agent(Roster("g", "n1", members), signers["n1"], "n1", START_UNIX_SECONDS, 0)
     honest.observe(SECOND, {backend_key(f"s-{i}", 0): 5.0 for i in range(8)})
     good = [
         honest.send(n * SECOND, honest.rumour_bucket, member_number("n0"), wire.Kind.RUMOUR)[0][1]
@@ -171,23 +175,26 @@
         ("bad_signature_us", lambda d: d[:-1] + b"\0", "n1"),
         ("too_long_us", lambda d: d.ljust(257, b"x"), "n1"),
     ):
-        victim = Agent(Roster("g", "n0", members), signers["n0"], "n0", EPOCH, 0)
+        victim = Agent(Roster("g", "n0", members), signers["n0"], "n0", START_UNIX_SECONDS, 0)
         if make is None:
-            victim.received(0, EPOCH, good[-1], ("n1", 1))
+            victim.received(0, START_UNIX_SECONDS, good[-1], ("n1", 1))
         told = [make(data) if make else good[-1] for data in good]
         begun = time.perf_counter()
         for n, data in enumerate(told):
-            victim.received(n * SECOND, EPOCH, data, (address, 1))
+            victim.received(n * SECOND, START_UNIX_SECONDS, data, (address, 1))
         figures[what] = round((time.perf_counter() - begun) / rounds * 1e6, 1)
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    agent = Agent(Roster("g", "n0", members), signers["n0"], "n0", EPOCH, 0)
+    agent = Agent(Roster("g", "n0", members), signers["n0"], "n0", START_UNIX_SECONDS, 0)
     for name in names[1:]:
-        one = Agent(Roster("g", name, members), signers[name], name, EPOCH, 0)
+        one = Agent(Roster("g", name, members), signers[name], name, START_UNIX_SECONDS, 0)
         one.observe(SECOND, {backend_key(f"s-{i}", 0): 5.0 for i in range(8)})
         agent.received(
-            SECOND, EPOCH, one.send(SECOND, one.rumour_bucket, member_number("n0"), wire.Kind.RUMOUR)[0][1], (name, 1)
+            SECOND,
+            START_UNIX_SECONDS,
+            one.send(SECOND, one.rumour_bucket, member_number("n0"), wire.Kind.RUMOUR)[0][1],
+            (name, 1),
         )
         del one
     gc.collect()
@@ -220,7 +227,7 @@
             )
         per = [figures[f"spread_{n}"]["heard_by_all_s"] / math.log2(n + 1) for n in (5, 20, 100)]
         figures["heard_s_by_log2"] = [round(p, 3) for p in per]
-        for peers, more in ((5, {}), (20, {}), *(() if quick else ((5, {"lines": 24}), (100, {})))):
+        for peers, more in ((5, {}), (20, {}), *(() if quick else ((5, {"report_lines_per_second": 24}), (100, {})))):
             few = {5: seeds, 20: range(1, 9) if quick else seeds, 100: range(1, 4)}[peers]
             say(f"days of {peers} coordinators {more or ''} ...")
             told = pairs(days(pool, peers, few, known, **more))
--- a/cranecleat/rehearsal/day.py
+++ b/cranecleat/rehearsal/day.py
@@ -1,7 +1,8 @@
-"""One day: coordinators with the real `Planner` and, where it is on, the real gossip `Agent`, over simulated stand-ins.
+"""A simulated day: coordinators with the real `Planner` and, where it is on, the real gossip `Agent`, over simulated
+clients, proxies, backends, discovery and network.
 
-`Day(scenario).run()` returns figures; the same scenario is the same day, to the call. All figures are of simulated
-servers.
+`Day(scenario).run()` returns the results; the same scenario gives the same day, down to the single call. All results
+are of simulated servers.
 """
 
 from dataclasses import dataclass, field
@@ -18,150 +19,173 @@
 from cranecleat.rehearsal.edge import Channel, Folder, Proxy
 from cranecleat.rehearsal.fleet import Backend
 from cranecleat.rehearsal.network import Network, Token, TokenChecker
-from cranecleat.rehearsal.world import SECOND, Draws, World
+from cranecleat.rehearsal.world import SECOND, BufferedDraws, Simulation
 
-MILLI = SECOND // 1000
-WAY = 1 * MILLI  # one way between a proxy and a backend
-ROUND = 20 * MILLI  # what arrives within that is one round
-GOSSIP = 50 * MILLI  # from one step of an agent to the next
-EPOCH = 1_700_000_000  # Unix seconds at the start of each day
+MILLISECOND = SECOND // 1000
+ONE_WAY_DELAY_US = 1 * MILLISECOND  # between a proxy and a backend
+ROUND_DELAY_US = 20 * MILLISECOND  # from the first event that waits to the round that takes all of them
+GOSSIP_STEP_US = 50 * MILLISECOND  # from one step of an agent to the next
+START_UNIX_SECONDS = 1_700_000_000  # Unix time at the start of each day
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
-    """One route's calls."""
+class RouteLoad:
+    """The calls of one route. Times are microseconds unless they are said to be seconds."""
 
     importance: float
     slo: int
-    limit: int  # after which the client gives up
-    work: float  # seconds, mean; drawn from a log-normal distribution
-    part: float  # of all calls
+    timeout: int  # after which the client gives up a try
+    mean_work: float  # seconds; the work of a call is drawn from a log-normal distribution
+    share: float  # of all calls
     mutating: bool
 
 
 @dataclass(slots=True)
 class Scenario:
+    """What a day is made of. Times are microseconds unless they are said to be seconds."""
+
     seed: int
     coordinators: int
     length: int
     proxies: int
     backends: int
-    calls: float  # a second
-    works: tuple = (
-        Work(3.0, 600 * MILLI, 2 * SECOND, 0.10, 0.7, False),
-        Work(5.0, 1200 * MILLI, 4 * SECOND, 0.15, 0.3, True),
+    calls_per_second: float
+    routes: tuple = (
+        RouteLoad(3.0, 600 * MILLISECOND, 2 * SECOND, 0.10, 0.7, False),
+        RouteLoad(5.0, 1200 * MILLISECOND, 4 * SECOND, 0.15, 0.3, True),
     )
     zones: int = 3
-    warm_up: int = 10 * SECOND  # left out of the service
-    cold: int = 8 * SECOND
-    cold_from: float = 0.2
+    measured_from: int = 10 * SECOND  # calls before it are not counted in the service
+    warm_up_time: int = 8 * SECOND
+    cold_start_capacity: float = 0.2
     grace: int = 2 * SECOND
-    late: tuple = (0.4, 1.0)  # seconds that reports are late
-    lines: int = 60  # report lines a second that a coordinator is given, the oldest first
-    repeats: int = 1  # of a client, after a wait
-    stated: int = 0  # proxies of the deployment, as the settings state them; from some number on the fleet is parted
+    report_delay: tuple = (0.4, 1.0)  # seconds: the shortest and the longest
+    report_lines_per_second: int = 60  # that each coordinator gets; those that have waited longest come first
+    client_retries: int = 1  # of a failed call, each after a wait
+    stated_proxies: int = 0  # size of the deployment in the settings; a large one is divided into subsets
     gossip: bool = False
-    liars: int = 0
-    lost: float = 0.0
-    doubled: float = 0.0
-    files: bool = False  # all proxies through files from the start; `over` and `back` change it in service
-    faults: list = field(default_factory=list)  # (when, name of a method of Day, values)
+    liars: int = 0  # coordinators that claim that every backend is dead
+    lost: float = 0.0  # share of the datagrams
+    doubled: float = 0.0  # share of the datagrams
+    files: bool = False  # whether proxies start on files; `end_streams` and `restore_streams` change it in service
+    faults: list = field(default_factory=list)  # (time, name of a method of Day, its arguments)
 
 
 class Call:
-    __slots__ = ("route", "zone", "at", "tries", "given_up", "ran", "over")
+    """A client's call over all its tries; for a backend's queue, one try of it."""
+
+    __slots__ = ("route", "zone", "started_at", "tries", "abandoned", "executions", "finished")
 
-    def __init__(self, route, zone, at):
-        self.route, self.zone, self.at = route, zone, at
-        self.tries, self.given_up, self.ran, self.over = 0, False, 0, False
+    def __init__(self, route, zone, started_at):
+        self.route, self.zone, self.started_at = route, zone, started_at
+        self.tries = 0
+        self.abandoned = False
+        self.executions = 0
+        self.finished = False
 
 
 class Coordinator:
+    """The real planner with a simulated channel and folder, and an agent where gossip is on."""
+
     def __init__(self, day, number):
         self.day, self.number, self.name = day, number, f"n{number}"
-        self.arrivals, self.waiting, self.due = [], False, {}  # line of a report -> since when, and its sums
+        self.events = []  # for the next round
+        self.round_scheduled = False
+        self.unreported = {}  # key of a report line -> [since when, sums ...]
         self.ids = {b.index: f"s-{b.index}" for b in day.fleet}
-        self.planner = Planner(day.boot, f"{day.s.seed}:{number}")
-        self.channel = Channel(day.world, 4000.0, day.boot.message_overhead, day.boot.backlog, self.told)
-        self.folder = Folder(day.world, self, tuple(f"r{i}" for i in range(len(day.s.works))), self.told, number)
+        self.planner = Planner(day.bootstrap, f"{day.scenario.seed}:{number}")
+        self.channel = Channel(
+            day.simulation, 4000.0, day.bootstrap.message_overhead, day.bootstrap.backlog, self.queue_event
+        )
+        routes = tuple(f"r{i}" for i in range(len(day.scenario.routes)))
+        self.folder = Folder(day.simulation, self, routes, self.queue_event, number)
         self.writer = CombinedWriter(self.channel, self.folder)
-        self.record = day.record(number) if day.record else None  # takes a round's calls and decisions
-        if self.record:
-            self.writer = self.record.writer(self.writer)
+        self.recorder = day.make_recorder(number) if day.make_recorder else None
+        if self.recorder:
+            self.writer = self.recorder.writer(self.writer)
         self.agent = self.bridge = None
-        self.shut = {}  # backend -> when it was shut out
-        self.told(("backends_listed", "whole", [self.entry(b) for b in day.fleet]))
-
-    def entry(self, b):
-        return b.index, b.listed, b.zone, 0, b.cores * 0.5, b.started
-
-    def told(self, call):
-        self.arrivals.append(call)
-        if not self.waiting:
-            self.waiting = True
-            self.day.world.after(ROUND, self.round)
-
-    def round(self):
-        self.waiting, calls, self.arrivals = False, self.arrivals, []
-        if self.record:
-            self.record.round(self.day.world.now, calls)
-        self.planner.round(self.day.world.now, calls, self.writer)
+        self.ejected_at = {}  # backend -> when it was ejected
+        self.queue_event(("backends_listed", "whole", [self.list_entry(b) for b in day.fleet]))
+
+    def list_entry(self, b):
+        return b.index, b.listed_state, b.zone, 0, b.cores * 0.5, b.started_at
+
+    def queue_event(self, event):
+        """Queues an event for the next round, and schedules the round."""
+        self.events.append(event)
+        if not self.round_scheduled:
+            self.round_scheduled = True
+            self.day.simulation.call_after(ROUND_DELAY_US, self.run_round)
+
+    def run_round(self):
+        self.round_scheduled = False
+        events = self.events
+        self.events = []
+        if self.recorder:
+            self.recorder.round(self.day.simulation.now, events)
+        self.planner.round(self.day.simulation.now, events, self.writer)
         self.channel.flush()
         self.folder.flush()
-        self.day.audit.channel(self.channel, self.name)
-        shut = {b for b, x in self.planner.backends.items() if x.ejected}
-        for b in shut - self.shut.keys():
-            self.shut[b] = self.day.world.now
-            self.day.shut_out(self, b)
-        for b in self.shut.keys() - shut:
-            del self.shut[b]
-
-    def joined(self):
+        self.day.audit.check_channel(self.channel, self.name)
+        ejected = {b for b, backend in self.planner.backends.items() if backend.ejected}
+        for b in ejected - self.ejected_at.keys():
+            self.ejected_at[b] = self.day.simulation.now
+            self.day.record_ejection(self, b)
+        for b in self.ejected_at.keys() - ejected:
+            del self.ejected_at[b]
+
+    def joined_proxies(self):
         return [*self.channel.joined.values(), *self.folder.joined.values()]
 
     def report(self):
-        """Sums since each line was last given: late, at most `lines` a cycle, those that waited longest first."""
-        day, now = self.day, self.day.world.now
-        for proxy in self.joined():
-            for route, calls in proxy.came.items():
-                self.due.setdefault(("demand_reported", proxy.number, route), [now - SECOND, 0])[1] += calls
-            for b, met in proxy.met.items():
-                known = self.due.setdefault(("attempts_reported", b, proxy.zone), [now - SECOND, 0, 0, 0])
-                known[1:] = [old + new for old, new in zip(known[1:], met, strict=True)]
-            proxy.came, proxy.met = dict.fromkeys(range(len(day.s.works)), 0), {}
-        late = day.lateness() * SECOND
-        ranks = {line: (due[0], day.coin()) for line, due in self.due.items()}
-        for line in sorted(ranks, key=ranks.get)[: day.s.lines]:
-            since, *sums = self.due.pop(line)
+        """Sends the planner the sums since each line was last reported.
+
+        They come late, and at most `report_lines_per_second` lines a cycle; those that have waited longest come first.
+        """
+        day, now = self.day, self.day.simulation.now
+        for proxy in self.joined_proxies():
+            for route, calls in proxy.calls_by_route.items():
+                self.unreported.setdefault(("demand_reported", proxy.number, route), [now - SECOND, 0])[1] += calls
+            for b, counts in proxy.tries_by_backend.items():
+                sums = self.unreported.setdefault(("attempts_reported", b, proxy.zone), [now - SECOND, 0, 0, 0])
+                sums[1:] = [old + new for old, new in zip(sums[1:], counts, strict=True)]
+            proxy.calls_by_route = dict.fromkeys(range(len(day.scenario.routes)), 0)
+            proxy.tries_by_backend = {}
+        delay = day.draw_report_delay() * SECOND
+        ranks = {line: (sums[0], day.draw_uniform()) for line, sums in self.unreported.items()}
+        for line in sorted(ranks, key=ranks.get)[: day.scenario.report_lines_per_second]:
+            since, *sums = self.unreported.pop(line)
             if line[0] == "demand_reported":
-                call = (*line, sums[0], now - since)
+                event = (*line, sums[0], now - since)
             else:
-                tries, lost, took = sums
-                call = (*line, tries, lost, took // max(tries - lost, 1), now - since, None)
-            day.world.after(late, self.told, call)
-        day.world.after(SECOND, self.report)
+                tries, unanswered, answer_time = sums
+                event = (*line, tries, unanswered, answer_time // max(tries - unanswered, 1), now - since, None)
+            day.simulation.call_after(delay, self.queue_event, event)
+        day.simulation.call_after(SECOND, self.report)
 
 
-class Liar(Agent):
-    """Says of every backend that it does not answer."""
+class LyingAgent(Agent):
+    """Claims of every backend that it does not answer."""
 
-    everybody = ()
+    claimed_backends = ()
 
-    def observe(self, now, misses):
-        super().observe(now, dict.fromkeys(self.everybody, 255.0))
+    def observe(self, now, missing_answers):
+        super().observe(now, dict.fromkeys(self.claimed_backends, 255.0))
 
 
 class Day:
-    """`record`: where given, called with a coordinator's number, makes what takes its calls and decisions."""
-
-    def __init__(self, scenario, record=None):
-        self.s, self.record = scenario, record
-        s = scenario
-        self.world, self.audit = World(s.seed), Audit(s, self)
-        self.boot = Bootstrap(
-            routes=tuple(Route(w.importance, w.slo, False, None, None) for w in s.works),
-            zones=s.zones,
-            coordinators=s.coordinators,
+    """One run of a scenario.
+
+    `make_recorder(coordinator's number)`, where given, makes the `Recorder` of its events and decisions.
+    """
+
+    def __init__(self, scenario, make_recorder=None):
+        self.scenario, self.make_recorder = scenario, make_recorder
+        self.simulation, self.audit = Simulation(scenario.seed), Audit(scenario, self)
+        self.bootstrap = Bootstrap(
+            routes=tuple(Route(load.importance, load.slo, False, None, None) for load in scenario.routes),
+            zones=scenario.zones,
+            coordinators=scenario.coordinators,
             must_watch=False,
             watch_timeout=10 * SECOND,
             admission="fraction",
@@ -171,264 +195,293 @@
             message_overhead=6.0,
             message_limit=0,
             message_limit_window=10 * SECOND,
-            grace=s.grace,
-            warm_up_time=s.cold,
-            cold_start_capacity=s.cold_from,
-            proxies=s.stated,
+            grace=scenario.grace,
+            warm_up_time=scenario.warm_up_time,
+            cold_start_capacity=scenario.cold_start_capacity,
+            proxies=scenario.stated_proxies,
         )
-        make = self.world.chance("fleet")
+        fleet_random = self.simulation.random_generator("fleet")
         self.fleet = [
-            Backend(self.world, i, i % s.zones, int(make.choice([2, 4])), make.uniform(0.8, 1.1), s.cold, s.cold_from)
-            for i in range(s.backends)
+            Backend(
+                self.simulation,
+                i,
+                i % scenario.zones,
+                int(fleet_random.choice([2, 4])),
+                fleet_random.uniform(0.8, 1.1),
+                scenario.warm_up_time,
+                scenario.cold_start_capacity,
+            )
+            for i in range(scenario.backends)
         ]
-        rest = self.world.chance("calls")
-        self.coin = Draws(lambda n: rest.random(n))
-        self.gap = Draws(lambda n: rest.exponential(SECOND / s.calls, n))
-        self.spread = Draws(lambda n: rest.lognormal(-0.125, 0.5, n))  # of mean 1
-        late = self.world.chance("reports")
-        self.lateness = Draws(lambda n: late.uniform(*s.late, n))
-        self.earned = self.asked = 0.0
-        self.calls = self.refused = 0
-        self.took, self.false = {}, []
-        self.network = Network(self.world, s.lost, s.doubled)
-        self.coordinators = [Coordinator(self, number) for number in range(s.coordinators)]
-        self.proxies = [self.proxy(number) for number in range(s.proxies)]
-        if s.gossip:
-            self.wire_up()
-        self.swallowing = {}  # backend -> since when
-
-    def proxy(self, number):
-        chance = self.world.chance(f"proxy {number}")
-        mine = chance.choice(len(self.fleet), min(5, len(self.fleet)), replace=False)
-        return Proxy(number, number % self.s.zones, {int(b): 1.0 for b in mine})
-
-    def wire_up(self):
+        call_random = self.simulation.random_generator("calls")
+        self.draw_uniform = BufferedDraws(lambda n: call_random.random(n))
+        self.draw_call_interval = BufferedDraws(
+            lambda n: call_random.exponential(SECOND / scenario.calls_per_second, n)
+        )
+        self.draw_work_factor = BufferedDraws(lambda n: call_random.lognormal(-0.125, 0.5, n))  # mean 1
+        report_random = self.simulation.random_generator("reports")
+        self.draw_report_delay = BufferedDraws(lambda n: report_random.uniform(*scenario.report_delay, n))
+        self.served_importance = self.offered_importance = 0.0
+        self.call_count = self.refused_count = 0
+        self.ejection_times = {}  # unresponsive backend -> {coordinator's name: seconds until it was ejected there}
+        self.false_ejections = []  # (time, coordinator's name, backend)
+        self.network = Network(self.simulation, scenario.lost, scenario.doubled)
+        self.coordinators = [Coordinator(self, number) for number in range(scenario.coordinators)]
+        self.proxies = [self.make_proxy(number) for number in range(scenario.proxies)]
+        if scenario.gossip:
+            self.start_gossip()
+        self.unresponsive_since = {}  # backend -> time
+
+    def make_proxy(self, number):
+        random = self.simulation.random_generator(f"proxy {number}")
+        drawn = random.choice(len(self.fleet), min(5, len(self.fleet)), replace=False)
+        return Proxy(number, number % self.scenario.zones, {int(b): 1.0 for b in drawn})
+
+    def start_gossip(self):
         members = [Member(c.name, (c.name, 1), (Token(c.name).public,)) for c in self.coordinators]
         for c in self.coordinators:
             roster = Roster("rehearsal", c.name, members)
-            kind = Liar if c.number >= self.s.coordinators - self.s.liars else Agent
+            agent_class = LyingAgent if c.number >= self.scenario.coordinators - self.scenario.liars else Agent
             c.bridge = Bridge(c.planner, self)
-            c.agent = kind(
+            c.agent = agent_class(
                 roster,
                 Token(c.name),
-                f"{self.s.seed}:{c.name}",
-                EPOCH,
-                self.world.now,
+                f"{self.scenario.seed}:{c.name}",
+                START_UNIX_SECONDS,
+                self.simulation.now,
                 checker=TokenChecker(roster),
                 rate=DEFAULT_BYTES_PER_SECOND,
             )
             c.address = (c.name, 1)
-            self.network.ends[c.address] = partial(self.datagram, c)
-            self.world.after(GOSSIP * (1 + c.number / self.s.coordinators), self.gossip, c)
-            c.next_told = 0
+            self.network.receivers[c.address] = partial(self.receive_datagram, c)
+            first_step = GOSSIP_STEP_US * (1 + c.number / self.scenario.coordinators)
+            self.simulation.call_after(first_step, self.step_gossip, c)
+            c.next_peer_events_at = 0
 
-    ids = property(lambda self: self.coordinators[0].ids)  # as `Bridge` asks for names
+    ids = property(lambda self: self.coordinators[0].ids)  # backends' ids by index, for `Bridge`
 
-    def unix(self):
-        return EPOCH + self.world.now / SECOND
+    def unix_time(self):
+        return START_UNIX_SECONDS + self.simulation.now / SECOND
 
-    def datagram(self, c, data, sender):
-        self.network.send(c.address, c.agent.received(self.world.now, self.unix(), data, sender))
+    def receive_datagram(self, c, data, sender):
+        self.network.send(c.address, c.agent.received(self.simulation.now, self.unix_time(), data, sender))
 
-    def gossip(self, c):
-        now = self.world.now
-        if isinstance(c.agent, Liar):
-            c.agent.everybody = [c.bridge.key(b) for b in c.planner.backends]
+    def step_gossip(self, c):
+        now = self.simulation.now
+        if isinstance(c.agent, LyingAgent):
+            c.agent.claimed_backends = [c.bridge.key(b) for b in c.planner.backends]
         c.agent.observe(now, c.bridge.missing_answers())
-        self.network.send(c.address, c.agent.tick(now, self.unix()))
+        self.network.send(c.address, c.agent.tick(now, self.unix_time()))
         pooled = c.agent.pooled(now)
-        if (pooled or c.bridge.reported) and now >= c.next_told:
-            c.next_told = now + SECOND
-            for call in c.bridge.events(pooled):
-                c.told(call)
-        self.world.after(GOSSIP, self.gossip, c)
+        if (pooled or c.bridge.reported) and now >= c.next_peer_events_at:
+            c.next_peer_events_at = now + SECOND
+            for event in c.bridge.events(pooled):
+                c.queue_event(event)
+        self.simulation.call_after(GOSSIP_STEP_US, self.step_gossip, c)
 
     # Faults
 
-    def swallow(self, b):
-        self.fleet[b].swallows, self.swallowing[b] = True, self.world.now
+    def stop_answering(self, b):
+        """The backend goes on accepting calls and answers none."""
+        self.fleet[b].unresponsive, self.unresponsive_since[b] = True, self.simulation.now
         self.fleet[b].queue.clear()
 
-    def answer(self, b):
-        self.fleet[b].swallows = False
-        self.fleet[b].busy = 0
-        self.swallowing.pop(b, None)
+    def resume_answering(self, b):
+        self.fleet[b].unresponsive = False
+        self.fleet[b].busy_cores = 0
+        self.unresponsive_since.pop(b, None)
 
     def kill(self, b):
-        self.fleet[b].die()
-        self.list(b, "gone", 1.0)
+        self.fleet[b].kill()
+        self.update_listing(b, "gone", 1.0)
 
     def start(self, b):
-        self.fleet[b].start()
-        self.list(b, "running", 0.5)
+        self.fleet[b].restart()
+        self.update_listing(b, "running", 0.5)
 
     def drain(self, b):
         self.fleet[b].state = "draining"
-        self.list(b, "draining", 0.2)
+        self.update_listing(b, "draining", 0.2)
 
-    def list(self, b, state, late):
-        """Discovery tells every coordinator, each `late` seconds and a little later."""
-        self.fleet[b].listed = state
+    def update_listing(self, b, state, delay):
+        """Discovery tells each coordinator of the state after `delay` seconds and up to 0.05 s more."""
+        self.fleet[b].listed_state = state
         for c in self.coordinators:
-            self.world.after((late + 0.05 * self.coin()) * SECOND, self.hear, c, b, state)
+            self.simulation.call_after((delay + 0.05 * self.draw_uniform()) * SECOND, self.receive_listing, c, b, state)
 
-    def hear(self, c, b, state):
-        if self.fleet[b].listed == state:
-            self.audit.told(c.name, b, state)
-            c.told(("backends_listed", "changes", [c.entry(self.fleet[b])]))
+    def receive_listing(self, c, b, state):
+        if self.fleet[b].listed_state == state:
+            self.audit.state_listed(c.name, b, state)
+            c.queue_event(("backends_listed", "changes", [c.list_entry(self.fleet[b])]))
 
-    def part(self, numbers):
-        self.network.apart = (frozenset((f"n{n}", 1) for n in numbers),)
+    def partition(self, numbers):
+        """Cuts these coordinators off from the others."""
+        self.network.partitions = (frozenset((f"n{n}", 1) for n in numbers),)
 
     def heal(self):
-        self.network.apart = ()
+        self.network.partitions = ()
 
-    def shut_out(self, c, b):
-        since, x = self.swallowing.get(b), self.fleet[b]
+    def record_ejection(self, c, b):
+        """Notes that a coordinator ejected a backend: in time, or falsely."""
+        since, backend = self.unresponsive_since.get(b), self.fleet[b]
         if since is not None:
-            self.took.setdefault(b, {})[c.name] = (self.world.now - since) / SECOND
-        elif x.state == "running" and not x.fallen and self.world.now >= self.s.warm_up:
-            self.false.append((self.world.now, c.name, b))
+            self.ejection_times.setdefault(b, {})[c.name] = (self.simulation.now - since) / SECOND
+        elif backend.state == "running" and not backend.crashed and self.simulation.now >= self.scenario.measured_from:
+            self.false_ejections.append((self.simulation.now, c.name, b))
 
-    def over(self):
-        """All streams end for good: files take over once the choice of transport has waited."""
+    def end_streams(self):
+        """All streams end for good: proxies change to files once a stream has been lost for long enough."""
         for c in self.coordinators:
             for proxy in list(c.channel.joined.values()):
                 c.channel.leave(proxy.number)
-                c.told(("proxy_left", proxy.number))
-                self.world.after(STREAM_LOST_AFTER_US + SECOND // 10 * self.coin(), self.through_files, c, proxy, False)
+                c.queue_event(("proxy_left", proxy.number))
+                delay = STREAM_LOST_AFTER_US + SECOND // 10 * self.draw_uniform()
+                self.simulation.call_after(delay, self.join_through_files, c, proxy, False)
 
-    def back(self):
-        """All streams stand again and have for long enough."""
+    def restore_streams(self):
+        """All streams are up again, and have been for long enough: proxies change back to them."""
         for c in self.coordinators:
             for proxy in list(c.folder.joined.values()):
                 c.folder.leave(proxy.number)
-                c.told(("proxy_left", proxy.number))
-                self.world.after(SECOND // 10 * self.coin(), self.through_stream, c, proxy, False)
+                c.queue_event(("proxy_left", proxy.number))
+                delay = SECOND // 10 * self.draw_uniform()
+                self.simulation.call_after(delay, self.join_through_stream, c, proxy, False)
 
-    def through_files(self, c, proxy, standing):
+    def join_through_files(self, c, proxy, uses_initial_table):
         c.folder.join(proxy)
-        c.told(("proxy_joined", proxy.number, proxy.zone, self.s.calls / len(self.proxies), standing, 0))
+        rate = self.scenario.calls_per_second / len(self.proxies)
+        c.queue_event(("proxy_joined", proxy.number, proxy.zone, rate, uses_initial_table, 0))
 
-    def through_stream(self, c, proxy, standing):
-        """As on the socket, what it may still shut out is let back with its first binding."""
-        proxy.out &= {b for b, x in c.planner.backends.items() if x.withdrawn}
+    def join_through_stream(self, c, proxy, uses_initial_table):
+        """As on a real stream, the withdrawals that the proxy may still hold and that are not in force are lifted."""
+        proxy.withdrawn &= {b for b, backend in c.planner.backends.items() if backend.withdrawn}
         c.channel.joined[proxy.number] = proxy
-        c.told(("proxy_joined", proxy.number, proxy.zone, self.s.calls / len(self.proxies), standing, 0))
+        rate = self.scenario.calls_per_second / len(self.proxies)
+        c.queue_event(("proxy_joined", proxy.number, proxy.zone, rate, uses_initial_table, 0))
 
     # Calls
 
-    def arrive(self):
-        self.world.after(self.gap(), self.arrive)
-        route, point = 0, self.coin()
-        while route < len(self.s.works) - 1 and point >= self.s.works[route].part:
-            point -= self.s.works[route].part
+    def start_call(self):
+        self.simulation.call_after(self.draw_call_interval(), self.start_call)
+        route, point = 0, self.draw_uniform()
+        while route < len(self.scenario.routes) - 1 and point >= self.scenario.routes[route].share:
+            point -= self.scenario.routes[route].share
             route += 1
-        call, counted = Call(route, int(self.coin() * self.s.zones), self.world.now), self.world.now >= self.s.warm_up
-        self.calls += counted
-        self.asked += self.s.works[route].importance * counted
-        self.attempt(call)
+        call = Call(route, int(self.draw_uniform() * self.scenario.zones), self.simulation.now)
+        is_measured = self.simulation.now >= self.scenario.measured_from
+        self.call_count += is_measured
+        self.offered_importance += self.scenario.routes[route].importance * is_measured
+        self.try_call(call)
 
-    def attempt(self, call):
+    def try_call(self, call):
         call.tries += 1
-        start = call.tries, self.world.now
+        this_try = call.tries, self.simulation.now  # its number and start
         near = [p for p in self.proxies if p.zone == call.zone] or self.proxies
-        proxy = near[int(self.coin() * len(near))]
-        proxy.came[call.route] = proxy.came.get(call.route, 0) + 1
-        if self.coin() >= proxy.levels.get(call.route, 1.0):
-            self.refused += 1
-            return self.again(call)
-        self.world.after(self.s.works[call.route].limit, self.limit, call, start, proxy, self.send(call, proxy, start))
-
-    def send(self, call, proxy, start, without=()):
-        """To a backend by the table; to another only on proof that the first never ran it. Returns where to."""
-        b = proxy.pick(call.route, self.coin(), without)
+        proxy = near[int(self.draw_uniform() * len(near))]
+        proxy.calls_by_route[call.route] = proxy.calls_by_route.get(call.route, 0) + 1
+        if self.draw_uniform() >= proxy.levels.get(call.route, 1.0):
+            self.refused_count += 1
+            return self.fail_try(call)
+        timeout = self.scenario.routes[call.route].timeout
+        sent = self.send_try(call, proxy, this_try)
+        self.simulation.call_after(timeout, self.expire_try, call, this_try, proxy, sent)
+
+    def send_try(self, call, proxy, this_try, without=()):
+        """Sends the try to a backend of the proxy's table.
+
+        Another one gets it only on proof that the first did not run it. Returns the backend and the request there, or
+        None where no backend took it.
+        """
+        b = proxy.pick(call.route, self.draw_uniform(), without)
         if b is None:
-            self.again(call)
+            self.fail_try(call)
             return None
-        self.audit.sent(proxy, b)
-        work = self.s.works[call.route].work * self.spread()
-        once = Call(call.route, call.zone, call.at)  # this try, whose waiting part its client's leaving drops
-
-        def ran(_):
-            call.ran += call.tries == start[0]
-            self.audit.ran(call, self.s.works[call.route].mutating)
-            self.world.after(WAY, self.answered, call, start, proxy, b)
-
-        if not self.fleet[b].take(once, work, ran):
-            proxy.met.setdefault(b, [0, 0, 0])
-            proxy.met[b][0] += 1
-            proxy.met[b][1] += 1
+        self.audit.try_sent(proxy, b)
+        work = self.scenario.routes[call.route].mean_work * self.draw_work_factor()
+        request = Call(call.route, call.zone, call.started_at)  # this try: dropped from the queue if the client leaves
+
+        def executed(_):
+            call.executions += call.tries == this_try[0]
+            self.audit.call_executed(call, self.scenario.routes[call.route].mutating)
+            self.simulation.call_after(ONE_WAY_DELAY_US, self.receive_answer, call, this_try, proxy, b)
+
+        if not self.fleet[b].accept(request, work, executed):
+            proxy.tries_by_backend.setdefault(b, [0, 0, 0])
+            proxy.tries_by_backend[b][0] += 1
+            proxy.tries_by_backend[b][1] += 1
             if not without:
-                return self.send(call, proxy, start, (b,))
-            self.again(call)
+                return self.send_try(call, proxy, this_try, (b,))
+            self.fail_try(call)
             return None
-        return b, once
+        return b, request
 
-    def answered(self, call, start, proxy, b):
-        if call.over or call.tries != start[0]:
+    def receive_answer(self, call, this_try, proxy, b):
+        if call.finished or call.tries != this_try[0]:
             return
-        call.over = True
-        took = self.world.now - start[1] + WAY
-        known = proxy.met.setdefault(b, [0, 0, 0])
-        known[0], known[2] = known[0] + 1, known[2] + took
-        if self.world.now - call.at <= self.s.works[call.route].slo and call.at >= self.s.warm_up:
-            self.earned += self.s.works[call.route].importance
-
-    def limit(self, call, start, proxy, sent):
-        if call.over or call.tries != start[0] or sent is None:
+        call.finished = True
+        answer_time = self.simulation.now - this_try[1] + ONE_WAY_DELAY_US
+        counts = proxy.tries_by_backend.setdefault(b, [0, 0, 0])
+        counts[0], counts[2] = counts[0] + 1, counts[2] + answer_time
+        route = self.scenario.routes[call.route]
+        if self.simulation.now - call.started_at <= route.slo and call.started_at >= self.scenario.measured_from:
+            self.served_importance += route.importance
+
+    def expire_try(self, call, this_try, proxy, sent):
+        if call.finished or call.tries != this_try[0] or sent is None:
             return
-        b, once = sent
-        once.given_up = True
-        known = proxy.met.setdefault(b, [0, 0, 0])
-        known[0], known[1] = known[0] + 1, known[1] + 1
-        self.again(call)
-
-    def again(self, call):
-        """The client hears at once that its call failed, waits, and may come again."""
-        if call.tries <= self.s.repeats and not call.over:
-            call.ran = 0  # a client's own repeat is a new call to us
-            self.world.after((0.2 + 0.3 * self.coin()) * SECOND, self.attempt, call)
+        b, request = sent
+        request.abandoned = True
+        counts = proxy.tries_by_backend.setdefault(b, [0, 0, 0])
+        counts[0], counts[1] = counts[0] + 1, counts[1] + 1
+        self.fail_try(call)
+
+    def fail_try(self, call):
+        """The client learns at once that its call failed, waits, and retries while it has retries left."""
+        if call.tries <= self.scenario.client_retries and not call.finished:
+            call.executions = 0  # A client's own retry is a new call to the proxies.
+            self.simulation.call_after((0.2 + 0.3 * self.draw_uniform()) * SECOND, self.try_call, call)
         else:
-            call.over = True
+            call.finished = True
 
     # The day
 
     def run(self):
         for p in self.proxies:
             c = self.coordinators[p.number % len(self.coordinators)]
-            p.home = c
-            (self.through_files if self.s.files else self.through_stream)(c, p, True)
+            p.coordinator = c
+            (self.join_through_files if self.scenario.files else self.join_through_stream)(c, p, True)
         for c in self.coordinators:
-            self.world.after(SECOND * (1 + c.number / len(self.coordinators)), c.report)
-        for when, what, *values in self.s.faults:
-            self.world.at(when, getattr(self, what), *values)
-        self.world.after(0, self.arrive)
-        self.world.after(SECOND, self.audit.look)
-        self.world.run(self.s.length)
-        honest = {c.name for c in self.coordinators[: len(self.coordinators) - self.s.liars]}
-        took = [
-            sum(v for n, v in each.items() if n in honest) / max(len(honest & each.keys()), 1)
-            for each in self.took.values()
+            self.simulation.call_after(SECOND * (1 + c.number / len(self.coordinators)), c.report)
+        for when, method, *values in self.scenario.faults:
+            self.simulation.call_at(when, getattr(self, method), *values)
+        self.simulation.call_after(0, self.start_call)
+        self.simulation.call_after(SECOND, self.audit.check_periodically)
+        self.simulation.run(self.scenario.length)
+        honest = {c.name for c in self.coordinators[: len(self.coordinators) - self.scenario.liars]}
+        mean_ejection_times = [
+            sum(seconds for name, seconds in times.items() if name in honest) / max(len(honest & times.keys()), 1)
+            for times in self.ejection_times.values()
         ]
         return {
-            "seed": self.s.seed,
-            "service": self.earned / max(self.asked, 1e-9),
-            "calls": self.calls,
-            "refused": self.refused,
-            "shut_after": took,
-            "shut_at": [len(each) for each in self.took.values()],
-            "false_shut": len(self.false),
-            "broken": self.audit.broken(),
-            "bytes_a_second": round(self.network.bytes / (self.s.length / SECOND) / len(self.coordinators)),
+            "seed": self.scenario.seed,
+            "service": self.served_importance / max(self.offered_importance, 1e-9),
+            "calls": self.call_count,
+            "refused": self.refused_count,
+            "shut_after": mean_ejection_times,
+            "shut_at": [len(times) for times in self.ejection_times.values()],
+            "false_shut": len(self.false_ejections),
+            "broken": self.audit.broken_rules(),
+            "bytes_a_second": round(self.network.sent_bytes / (self.scenario.length / SECOND) / len(self.coordinators)),
         }
 
 
-def surge(seed, coordinators=2, length=60 * SECOND, files=False, over=False, **more):
-    """A day at 0.8 of the fleet's work with a release in it: backends drain, go and come back cold, one after another.
-    `over`: streams end at 25 s and stand again at 42 s."""
-    backends, mean = 24, 0.7 * 0.10 + 0.3 * 0.15
-    faults = [(25 * SECOND, "over"), (42 * SECOND, "back")] if over else []
+def rolling_release(seed, coordinators=2, length=60 * SECOND, files=False, streams_fail=False, **more):
+    """A day at 0.8 of the fleet's capacity with a release: backends drain, go and come back cold, one after another.
+
+    With `streams_fail`, streams end at 25 s and are up again at 42 s.
+    """
+    backends, mean_work = 24, 0.7 * 0.10 + 0.3 * 0.15
+    faults = [(25 * SECOND, "end_streams"), (42 * SECOND, "restore_streams")] if streams_fail else []
     for i in range(6):
         at = (18 + 4 * i) * SECOND
         faults += [(at, "drain", 2 * i), (at + 3 * SECOND, "kill", 2 * i), (at + 6 * SECOND, "start", 2 * i)]
@@ -439,32 +492,34 @@
         proxies=24,
         backends=backends,
         files=files,
-        calls=0.8 * backends * 3 * 0.95 / mean,
-        lines=200,
+        calls_per_second=0.8 * backends * 3 * 0.95 / mean_work,
+        report_lines_per_second=200,
         faults=faults,
         **more,
     )
 
 
 def swallowing(seed, coordinators, length=60 * SECOND, gossip=False, liars=0, lost=0.0, load=0.55, **more):
-    """A day on which one backend swallows calls for good and one for 12 s, one dies and comes back cold, one drains.
-    `load`: the part of the fleet's work that is asked for."""
+    """A day on which one backend stops answering for good and one for 12 s, one dies and comes back cold, one drains.
+
+    `load` is the work that is asked for, as a part of the fleet's capacity.
+    """
     backends = 24
-    mean = 0.7 * 0.10 + 0.3 * 0.15
+    mean_work = 0.7 * 0.10 + 0.3 * 0.15
     return Scenario(
         seed=seed,
         coordinators=coordinators,
         length=length,
         proxies=max(3 * coordinators, 18),
         backends=backends,
-        calls=load * backends * 3 * 0.95 / mean,
+        calls_per_second=load * backends * 3 * 0.95 / mean_work,
         gossip=gossip,
         liars=liars,
         lost=lost,
         faults=[
-            (16 * SECOND, "swallow", 3),
-            (22 * SECOND, "swallow", 7),
-            (34 * SECOND, "answer", 7),
+            (16 * SECOND, "stop_answering", 3),
+            (22 * SECOND, "stop_answering", 7),
+            (34 * SECOND, "resume_answering", 7),
             (25 * SECOND, "kill", 11),
             (30 * SECOND, "start", 11),
             (38 * SECOND, "drain", 5),
--- a/cranecleat/rehearsal/fleet.py
+++ b/cranecleat/rehearsal/fleet.py
@@ -1,75 +1,93 @@
-"""Backends: cores, a queue, a cold start that falls over when it is pushed, swallowing, refusing and death."""
+"""Simulated backends: cores, a queue, a cold start that ends in a crash under overload, unresponsiveness and death."""
 
 from collections import deque
 
 from cranecleat.rehearsal.world import SECOND
 
-PUSHED, FOR = 4.0, 3  # times what a cold one can do at the moment, for that many seconds: it falls over
+# A cold backend crashes once it is sent more than this multiple of its present capacity for so many seconds in a row.
+COLD_OVERLOAD_MULTIPLE = 4.0
+COLD_OVERLOAD_SECONDS = 3
 
 
 class Backend:
-    """`speed`: work done a second by each of its cores, in seconds of work."""
+    """`speed` is the work, in seconds of work, that each of its cores does in a second."""
 
-    def __init__(self, world, index, zone, cores, speed, cold, cold_from, started=0):
-        self.world, self.index, self.zone, self.cores, self.speed = world, index, zone, cores, speed
-        self.cold, self.cold_from, self.started = cold, cold_from, started  # Unix microseconds; 0: long ago
-        self.state = "running"  # as it is: running, draining, dead
-        self.listed = "running"  # as discovery has it
-        self.swallows = self.fallen = False
-        self.busy, self.queue = 0, deque()
-        self.second, self.work, self.hard = -1, 0.0, 0  # work sent in this second; seconds pushed in a row
+    def __init__(self, simulation, index, zone, cores, speed, warm_up_time, cold_start_capacity, started_at=0):
+        self.simulation, self.index, self.zone, self.cores, self.speed = simulation, index, zone, cores, speed
+        self.warm_up_time, self.cold_start_capacity = warm_up_time, cold_start_capacity
+        self.started_at = started_at  # microseconds of simulated time; 0: long ago
+        self.state = "running"  # its actual state: running, draining or dead
+        self.listed_state = "running"  # its state according to discovery
+        self.unresponsive = self.crashed = False
+        self.busy_cores, self.queue = 0, deque()
+        self.current_second = -1
+        self.work_this_second = 0.0  # seconds of work sent to it
+        self.overloaded_seconds = 0  # in a row
 
     def warmth(self):
-        if not self.started:
+        """The part of its full capacity that it has at present."""
+        if not self.started_at:
             return 1.0
-        return self.cold_from + (1 - self.cold_from) * min((self.world.now - self.started) / self.cold, 1.0)
+        age = self.simulation.now - self.started_at
+        return self.cold_start_capacity + (1 - self.cold_start_capacity) * min(age / self.warm_up_time, 1.0)
 
-    def open(self):
-        return self.state != "dead" and not self.fallen
+    def is_up(self):
+        return self.state != "dead" and not self.crashed
 
-    def take(self, call, work, done):
-        """A call arrives. `done(call)` is called once it has run; never, where it is swallowed or dies with us.
-        Returns whether it was taken at all."""
-        if not self.open():
+    def accept(self, call, work, done):
+        """Takes a call and returns whether it was accepted.
+
+        `done(call)` is called once the call has run: never where the backend is unresponsive or dies first.
+        """
+        if not self.is_up():
             return False
-        self.push(work)
-        if not self.swallows:
+        self.track_overload(work)
+        if not self.unresponsive:
             self.queue.append((call, work, done))
-            self.next()
+            self.run_next()
         return True
 
-    def push(self, work):
-        second = self.world.now // SECOND
-        if second != self.second:
-            able = self.cores * self.speed * self.warmth()
-            over = second == self.second + 1 and self.work > PUSHED * able and self.warmth() < 1.0
-            self.hard = self.hard + 1 if over else 0
-            self.fallen = self.fallen or self.hard >= FOR
-            self.second, self.work = second, 0.0
-        self.work += work
+    def track_overload(self, work):
+        second = self.simulation.now // SECOND
+        if second != self.current_second:
+            capacity = self.cores * self.speed * self.warmth()
+            overloaded = (
+                second == self.current_second + 1
+                and self.work_this_second > COLD_OVERLOAD_MULTIPLE * capacity
+                and self.warmth() < 1.0
+            )
+            self.overloaded_seconds = self.overloaded_seconds + 1 if overloaded else 0
+            self.crashed = self.crashed or self.overloaded_seconds >= COLD_OVERLOAD_SECONDS
+            self.current_second, self.work_this_second = second, 0.0
+        self.work_this_second += work
 
-    def next(self):
-        while self.queue and self.busy < self.cores:
+    def run_next(self):
+        while self.queue and self.busy_cores < self.cores:
             call, work, done = self.queue.popleft()
-            if call.given_up:
-                continue  # its client has gone: what waits is dropped
-            self.busy += 1
-            self.world.after(work / (self.speed * self.warmth()) * SECOND, self.ran, call, done, self.started)
+            if call.abandoned:
+                continue  # Its client has gone: a waiting call is dropped.
+            self.busy_cores += 1
+            duration = work / (self.speed * self.warmth()) * SECOND
+            self.simulation.call_after(duration, self.finish, call, done, self.started_at)
 
-    def ran(self, call, done, life):
-        if life != self.started:
-            return  # it died meanwhile
-        self.busy -= 1
-        if self.open() and not self.swallows:
+    def finish(self, call, done, started_at):
+        if started_at != self.started_at:
+            return  # The backend has died and started again since.
+        self.busy_cores -= 1
+        if self.is_up() and not self.unresponsive:
             done(call)
-        self.next()
+        self.run_next()
 
-    def die(self):
-        self.state, self.busy = "dead", 0
+    def kill(self):
+        self.state, self.busy_cores = "dead", 0
         self.queue.clear()
 
-    def start(self):
-        """Again, under the same id, cold."""
-        self.state, self.fallen, self.swallows, self.busy, self.hard = "running", False, False, 0, 0
-        self.started = self.world.now
+    def restart(self):
+        """Starts again under the same id, cold."""
+        self.state = "running"
+        self.crashed = False
+        self.unresponsive = False
+        self.busy_cores = 0
+        self.overloaded_seconds = 0
+        self.started_at = self.simulation.now
         self.queue.clear()
--- a/cranecleat/rehearsal/network.py
+++ b/cranecleat/rehearsal/network.py
@@ -1,4 +1,5 @@
-"""Between coordinators: a network that loses, delays, doubles, reorders and parts; and seals that cost nothing."""
+"""The simulated network between coordinators, which loses, delays, duplicates and reorders datagrams and can be
+partitioned, and cheap signatures for it."""
 
 import hashlib
 
@@ -7,7 +8,9 @@
 
 class Token:
     """Stands in for Ed25519 where thousands of datagrams a second are simulated: a keyed hash of the same length.
-    Real keys are used by the tests and by `benchmarks/gossip.py` where their cost is measured."""
+
+    Tests of the real keys, and the parts of `benchmarks/gossip.py` that measure their cost, use real keys.
+    """
 
     def __init__(self, name):
         self.public = hashlib.blake2b(name.encode(), digest_size=32, person=b"rehearsal").digest()
@@ -17,37 +20,47 @@
 
 
 class TokenChecker:
+    """Verifies the signatures of `Token`; stands in for `cranecleat.gossip.seal.Checker`."""
+
     def __init__(self, roster):
         self.update_roster(roster)
 
     def update_roster(self, roster):
         self.roster = roster
 
-    def is_valid(self, one, use, digest, data, signature):
+    def is_valid(self, member, use, digest, data, signature):
         return any(
             hashlib.blake2b(use + digest + data, key=key, digest_size=64).digest() == signature
-            for key in self.roster.members[one].keys
+            for key in self.roster.members[member].keys
         )
 
 
 class Network:
-    """Carries datagrams between addresses. Parts are 0 to 1; `apart`: sets of addresses that hear only each other."""
+    """Carries datagrams between addresses.
+
+    `loss` and `duplication` are the shares of datagrams, 0 to 1, that are lost and that are sent twice.
+    `partitions` holds sets of addresses; the members of a set reach only each other.
+    """
 
-    def __init__(self, world, lost=0.0, doubled=0.0, slowest=0.03):
-        self.world, self.chance = world, world.chance("network")
-        self.lost, self.doubled, self.slowest, self.apart = lost, doubled, slowest, ()
-        self.sent = self.bytes = 0
-        self.ends = {}  # address -> what takes (data, from address)
+    def __init__(self, simulation, loss=0.0, duplication=0.0, max_delay_seconds=0.03):
+        self.simulation, self.random = simulation, simulation.random_generator("network")
+        self.loss, self.duplication, self.max_delay_seconds = loss, duplication, max_delay_seconds
+        self.partitions = ()
+        self.sent_count = self.sent_bytes = 0
+        self.receivers = {}  # address -> callback that takes (data, sender's address)
 
     def send(self, sender, datagrams):
         for to, data in datagrams:
-            self.sent, self.bytes = self.sent + 1, self.bytes + len(data) + 28
-            if any((sender in part) != (to in part) for part in self.apart):
+            self.sent_count += 1
+            self.sent_bytes += len(data) + 28  # with the IP and UDP headers
+            if any((sender in members) != (to in members) for members in self.partitions):
                 continue
-            for _ in range(2 if self.chance.random() < self.doubled else 1):
-                if self.chance.random() >= self.lost:  # each delay is drawn anew, which reorders
-                    self.world.after(self.chance.uniform(0.001, self.slowest) * SECOND, self.arrive, to, data, sender)
+            for _ in range(2 if self.random.random() < self.duplication else 1):
+                if self.random.random() >= self.loss:
+                    # Each datagram has a delay of its own, so that datagrams overtake each other.
+                    delay = self.random.uniform(0.001, self.max_delay_seconds) * SECOND
+                    self.simulation.call_after(delay, self.deliver, to, data, sender)
 
-    def arrive(self, to, data, sender):
-        if to in self.ends:
-            self.ends[to](data, sender)
+    def deliver(self, to, data, sender):
+        if to in self.receivers:
+            self.receivers[to](data, sender)
--- a/cranecleat/rehearsal/recording.py
+++ b/cranecleat/rehearsal/recording.py
@@ -1,8 +1,8 @@
-"""Recorded days: every call that a planner gets and every decision that it writes, as lines of text.
+"""Recorded days: every event that a planner gets and every decision that it writes, as lines of text.
 
-Two versions of the decision module are the same where these lines are the same. `digests` sums them up second by
-second, which is what the tests keep; where a digest differs, `lines` of both versions show the first call or decision
-that does: `python -m cranecleat rehearse decisions NAME`.
+Two versions of the planner decide alike where these lines are the same. The tests keep `digests`, checksums of the
+lines for each second. Where a digest differs, `lines` of both versions show the first event or decision that differs:
+`python -m cranecleat rehearse decisions NAME`.
 """
 
 import zlib
@@ -11,7 +11,8 @@
 from cranecleat.rehearsal.day import Day, Scenario
 from cranecleat.rehearsal.world import SECOND
 
-CALLS_A_BACKEND = 3 * 0.95 / (0.7 * 0.10 + 0.3 * 0.15)  # a second: mean cores and speed over the mean work of a call
+# What a backend can serve: the mean of cores times the mean speed, over the mean work of a call in seconds.
+CALLS_PER_SECOND_PER_BACKEND = 3 * 0.95 / (0.7 * 0.10 + 0.3 * 0.15)
 
 
 @dataclass(slots=True)
@@ -25,64 +26,64 @@
 
 
 class Recorder:
-    """Takes one coordinator's rounds and stands between its planner and the writer."""
+    """Records the rounds of one coordinator; stands between its planner and the planner's writer."""
 
     def __init__(self, rounds, coordinator):
         self._rounds, self._coordinator, self._writer = rounds, coordinator, None
 
     def writer(self, writer):
-        """The planner's writer from now on: each decision is written down and handed on."""
+        """Returns the writer to give to the planner: each decision is recorded and passed on to `writer`."""
         self._writer = writer
         return self
 
     def round(self, now, calls):
-        """A round begins with these calls."""
-        self._rounds.append(Round(now, self._coordinator, [text(*call) for call in calls]))
+        """Begins a round with these events."""
+        self._rounds.append(Round(now, self._coordinator, [format_entry(*event) for event in calls]))
 
-    def __getattr__(self, verb):
-        decide = getattr(self._writer, verb)
+    def __getattr__(self, method):
+        write = getattr(self._writer, method)
 
-        def decided(*values, **named):
-            self._rounds[-1].decisions.append(text(verb, *values, *named.values()))
-            return decide(*values, **named)
+        def record(*values, **named):
+            self._rounds[-1].decisions.append(format_entry(method, *values, *named.values()))
+            return write(*values, **named)
 
-        return decided
+        return record
 
 
-def text(verb, *values):
-    """One call or decision; floats are written to the last bit."""
-    return f"{verb} {' '.join(map(repr, values))}"
+def format_entry(name, *values):
+    """One event or decision as text; floats are written in full precision."""
+    return f"{name} {' '.join(map(repr, values))}"
 
 
 def play(scenario):
-    """The day's rounds in the order of time."""
+    """Runs a day and returns the rounds of all coordinators in the order of time."""
     rounds = []
-    Day(scenario, record=lambda number: Recorder(rounds, number)).run()
+    Day(scenario, make_recorder=lambda number: Recorder(rounds, number)).run()
     return rounds
 
 
 def lines(rounds):
-    """Every call and decision, a line each."""
-    for one in rounds:
-        head = f"{one.at / SECOND:.6f} n{one.coordinator}"
-        yield from (f"{head} <- {call}" for call in one.calls)
-        yield from (f"{head} -> {decision}" for decision in one.decisions)
+    """Yields every event and decision as a line."""
+    for played_round in rounds:
+        prefix = f"{played_round.at / SECOND:.6f} n{played_round.coordinator}"
+        yield from (f"{prefix} <- {event}" for event in played_round.calls)
+        yield from (f"{prefix} -> {decision}" for decision in played_round.decisions)
 
 
 def digests(rounds):
-    """A line a second and coordinator: how many calls and decisions, and checksums of each in their order."""
+    """Yields a line for each second and coordinator: how many events and decisions, and a checksum of each in order."""
     sums = {}
-    for one in rounds:
-        known = sums.setdefault((one.at // SECOND, one.coordinator), [0, 0, 0, 0])
-        for place, what in ((0, one.calls), (2, one.decisions)):
-            known[place] += len(what)
-            known[place + 1] = zlib.crc32("\n".join(what).encode(), known[place + 1])
-    for (second, coordinator), (calls, called, decisions, decided) in sorted(sums.items()):
-        yield f"{second:3} n{coordinator}  calls {calls:4} {called:08x}  decisions {decisions:4} {decided:08x}"
+    for played_round in rounds:
+        totals = sums.setdefault((played_round.at // SECOND, played_round.coordinator), [0, 0, 0, 0])
+        for place, entries in ((0, played_round.calls), (2, played_round.decisions)):
+            totals[place] += len(entries)
+            totals[place + 1] = zlib.crc32("\n".join(entries).encode(), totals[place + 1])
+    for (second, coordinator), (events, event_crc, decisions, decision_crc) in sorted(sums.items()):
+        yield f"{second:3} n{coordinator}  calls {events:4} {event_crc:08x}  decisions {decisions:4} {decision_crc:08x}"
 
 
 def small_fleet():
-    """30 backends: a release, a quarter of the fleet that crashes and returns cold, more calls than it can take."""
+    """30 backends: a release, a quarter of the fleet dies and comes back cold, more calls than it can serve."""
     faults = []
     for step in range(3):
         at = (8 + 3 * step) * SECOND
@@ -95,15 +96,15 @@
         length=36 * SECOND,
         proxies=24,
         backends=30,
-        calls=1.1 * 30 * CALLS_A_BACKEND,
-        lines=200,
+        calls_per_second=1.1 * 30 * CALLS_PER_SECOND_PER_BACKEND,
+        report_lines_per_second=200,
         faults=faults,
     )
 
 
 def parted_fleet():
-    """120 backends in sections: half of them replaced in two steps, a backend that swallows calls."""
-    faults = [(12 * SECOND, "swallow", 100)]
+    """120 backends in subsets: half of them are replaced in two steps, and one stops answering."""
+    faults = [(12 * SECOND, "stop_answering", 100)]
     for step in range(2):
         at = (8 + 4 * step) * SECOND
         for b in range(30 * step, 30 * step + 30):
@@ -114,9 +115,9 @@
         length=22 * SECOND,
         proxies=120,
         backends=120,
-        calls=0.6 * 120 * CALLS_A_BACKEND,
-        lines=400,
-        stated=1600,
+        calls_per_second=0.6 * 120 * CALLS_PER_SECOND_PER_BACKEND,
+        report_lines_per_second=400,
+        stated_proxies=1600,
         faults=faults,
     )
 
