--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -9,10 +9,12 @@
 where a stated aim is missed.
 """
 
+import functools
 import gc
 import importlib
 import json
 import math
+import operator
 import random
 import subprocess
 import sys
@@ -27,6 +29,31 @@
 SIZES = ((30, 60), (30, 150), (120, 640), (300, 1000), (1000, 5000))
 AIMS = {"part": 0.1, "cpu": 0.6, "longest": 0.030, "exponent": 1.1, "lines": 40_000}
 
+# What this version calls by the name on the left, the earlier one calls by the name on the right.
+EARLIER_CLASSES = {"IndexMap": "Names"}
+EARLIER_EVENTS = {
+    "acknowledged": "applied",
+    "attempts_reported": "met",
+    "backends_listed": "listed",
+    "demand_reported": "came",
+    "proxy_joined": "joined",
+    "proxy_left": "left",
+}
+EARLIER_SETTINGS = {
+    "channel_lines_per_second": "pace",
+    "cold_start_capacity": "cold_from",
+    "message_limit": "messages_most",
+    "message_limit_window": "messages_over",
+    "message_overhead": "head",
+    "must_watch": "must_ask",
+    "warm_up_time": "cold",
+    "watch_timeout": "ask_within",
+}
+EARLIER_ATTRIBUTES = {
+    "Proxy": {"bound_tables": "bound"},
+    "Streams": {"ack_number": "stamp", "set_timer": "wake"},
+}
+
 
 def version(path):
     """The modules of one version, under the name `cranecleat` of their own for as long as they are imported."""
@@ -54,7 +81,29 @@
     if done.returncode:
         return None
     subprocess.run(["tar", "-x", "-C", str(folder)], input=done.stdout, check=True)
-    return version(folder)
+    return with_present_names(version(folder))
+
+
+def with_present_names(modules):
+    """The modules of the earlier version, which answer to the names of this one as far as the driver uses them."""
+    decoding, interface, policy, streams = modules
+    for present, name in EARLIER_CLASSES.items():
+        setattr(decoding, present, getattr(decoding, name))
+    for present, name in EARLIER_EVENTS.items():
+        setattr(policy.Planner, present, getattr(policy.Planner, name))
+    bootstrap = interface.Bootstrap
+    interface.Bootstrap = lambda **settings: bootstrap(
+        **{EARLIER_SETTINGS.get(present, present): value for present, value in settings.items()}
+    )
+    for owner in (policy.Proxy, streams.Streams):
+        for present, name in EARLIER_ATTRIBUTES[owner.__name__].items():
+            read, write = operator.attrgetter(name), functools.partial(set_attribute, name)
+            setattr(owner, present, property(read, write))
+    return modules
+
+
+def set_attribute(name, instance, value):
+    setattr(instance, name, value)
 
 
 class Fleet:
