--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,18 +1,20 @@
-"""A toy deployment for one coordinator: discovery, one proxy and one collector, to see it at work.
+"""A small example deployment for one coordinator: discovery, one proxy and one collector.
 
-Run it beside `BALANCER_CONFIG=examples/config.json python -m cranecleat`. It lists three backends, lets one of them
-drain after some seconds, joins as proxy 0, reports made-up calls each second and prints every order that it gets.
+Run it beside `BALANCER_CONFIG=examples/config.json python -m cranecleat`. It lists three backends, drains one of them
+after ten seconds, joins as proxy 0, reports invented calls every second and prints every message from the coordinator.
 """
 
 import asyncio
 import contextlib
 import json
 
-DISCOVERY, COORDINATOR = ("127.0.0.1", 8500), ("127.0.0.1", 5000)
-BACKENDS = {"toy-a": ("north", 40), "toy-b": ("north", 80), "toy-c": ("south", 160)}  # zone, work in ms
+DISCOVERY_ADDRESS = ("127.0.0.1", 8500)
+COORDINATOR_ADDRESS = ("127.0.0.1", 5000)
+BACKENDS = {"toy-a": ("north", 40), "toy-b": ("north", 80), "toy-c": ("south", 160)}  # zone, answer time in ms
 
 
-def entry(rev, full, **states):
+def encode_list(rev, full, **states):
+    """A line of discovery: a full list of backends, or the changes of one. Names have `_` for `-` as keyfields."""
     return json.dumps(
         {
             "rev": rev,
@@ -35,63 +37,65 @@
 
 
 async def discovery(reader, writer):
-    """Answers a watch: the whole list, then one change, and an empty line every two seconds."""
+    """Answers a watch: the full list, then a line every two seconds, one of them a change and the others empty."""
 
-    def say(line):
+    def send_line(line):
         writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line.encode()))
 
     with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        say(entry(1, True, toy_a="active", toy_b="active", toy_c="active"))
-        for beat in range(1 << 30):
+        send_line(encode_list(1, True, toy_a="active", toy_b="active", toy_c="active"))
+        for tick in range(1 << 30):
             await asyncio.sleep(2)
-            say(entry(2, False, toy_b="leaving") if beat == 4 else "")
+            send_line(encode_list(2, False, toy_b="leaving") if tick == 4 else "")
             await writer.drain()
 
 
-async def dial(first):
+async def connect(first_line):
+    """Connects to the coordinator, as soon as it listens, and sends the first line."""
     while True:
         with contextlib.suppress(OSError):
-            reader, writer = await asyncio.open_connection(*COORDINATOR)
-            writer.write(f"{first}\r\n".encode())
+            reader, writer = await asyncio.open_connection(*COORDINATOR_ADDRESS)
+            writer.write(f"{first_line}\r\n".encode())
             return reader, writer
         await asyncio.sleep(0.5)
 
 
-async def collector(shut):
-    """What the proxies of zone north are said to have met."""
+async def collector(withdrawn):
+    """Reports invented results of the tries from zone north, for each backend that is not withdrawn."""
     while True:
-        _, writer = await dial("telemetry locality=north")
+        _, writer = await connect("telemetry locality=north")
         with contextlib.suppress(ConnectionError):
             while not writer.is_closing():
-                for name, (_, took) in BACKENDS.items():
-                    if name not in shut:
+                for name, (_, answer_time) in BACKENDS.items():
+                    if name not in withdrawn:
                         writer.write(
-                            f"upstream_stats locality=north endpoint={name} total=5 errors=0 rtt={took} "
-                            f"interval=1000 metrics=utilization:{took * 5 / 1000},throughput:5\r\n".encode()
+                            f"upstream_stats locality=north endpoint={name} total=5 errors=0 rtt={answer_time} "
+                            f"interval=1000 metrics=utilization:{answer_time * 5 / 1000},throughput:5\r\n".encode()
                         )
                 await writer.drain()
                 await asyncio.sleep(1)
 
 
-async def proxy(shut):
-    """Joins, answers marks and prints its orders."""
+async def proxy(withdrawn):
+    """Joins, acknowledges messages and prints them."""
     while True:
-        reader, writer = await dial("attach node=0 locality=north w=20 cold=1")
-        usage = asyncio.ensure_future(report(writer))
+        reader, writer = await connect("attach node=0 locality=north w=20 cold=1")
+        reports = asyncio.ensure_future(report(writer))
         with contextlib.suppress(ConnectionError):
             while line := (await reader.readline()).decode().strip():
-                print("order:", line, flush=True)
-                words = dict(word.split("=") for word in line.split(" ")[1:])
-                shut.update(filter(None, words.get("drop", "").split(",")))
-                shut.difference_update(words.get("undrop", "").split(","))
-                if "stamp" in words:
-                    writer.write(f"done node=0 nonce={words['stamp']} latency=1.0\r\n".encode())
-        usage.cancel()
+                print("message:", line, flush=True)
+                fields = dict(field.split("=") for field in line.split(" ")[1:])
+                withdrawn.update(filter(None, fields.get("drop", "").split(",")))
+                withdrawn.difference_update(fields.get("undrop", "").split(","))
+                if "stamp" in fields:
+                    writer.write(f"done node=0 nonce={fields['stamp']} latency=1.0\r\n".encode())
+        reports.cancel()
 
 
 async def report(writer):
+    """Reports invented calls of both routes every second."""
     while True:
         await asyncio.sleep(1)
         for route in ("read", "write"):
@@ -99,9 +103,9 @@
 
 
 async def main():
-    shut = set()
-    async with await asyncio.start_server(discovery, *DISCOVERY):
-        await asyncio.gather(proxy(shut), collector(shut))
+    withdrawn = set()
+    async with await asyncio.start_server(discovery, *DISCOVERY_ADDRESS):
+        await asyncio.gather(proxy(withdrawn), collector(withdrawn))
 
 
 if __name__ == "__main__":
