--- a/cranecleat/rehearsal/network.py
+++ b/cranecleat/rehearsal/network.py
@@ -20,7 +20,7 @@
 
 
 class TokenChecker:
-    """Verifies the signatures of `Token`; stands in for `cranecleat.gossip.seal.Checker`."""
+    """Verifies these signatures; stands in for the verifier of Ed25519."""
 
     def __init__(self, roster):
         self.update_roster(roster)
--- a/cranecleat/rehearsal/recording.py
+++ b/cranecleat/rehearsal/recording.py
@@ -1,7 +1,7 @@
 """Recorded days: every event that a planner gets and every decision that it writes, as lines of text.
 
-Two versions of the planner decide alike where these lines are the same. The tests keep `digests`, checksums of the
-lines for each second. Where a digest differs, `lines` of both versions show the first event or decision that differs:
+Two versions of the planner decide alike where these lines are the same. The tests keep checksums of the lines for each
+second. Where a checksum differs, the lines of both versions show the first event or decision that differs:
 `python -m cranecleat rehearse decisions NAME`.
 """
 
