--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""One program a subsystem; each prints a table and ends with code 1 where an aim is missed."""
+"""One benchmark for each subsystem; each prints a table and exits with code 1 where a target is missed."""
--- a/benchmarks/files.py
+++ b/benchmarks/files.py
@@ -1,10 +1,11 @@
-"""The files transport measured: swaps under readers in other processes, time to acknowledged beside streams, bytes a
-change, restart, and the same days on streams, on files and going over.
+"""Measures the files transport: atomic replacements under readers in other processes, the time from a decision to its
+acknowledgement beside that of streams, bytes written per change, a restart, and the same simulated days on streams, on
+files, and with a change from streams to files and back.
 
     python -m benchmarks.files [--quick] [--json]
 
-Exit code 1 where a stated aim is missed. Days are of simulated servers; times are of this machine, and only their
-ratios in one run say anything.
+The exit code is 1 where a target is missed. Days are of simulated servers. Times depend on the machine: compare only
+those of one run.
 """
 
 import json
@@ -29,18 +30,26 @@
 from cranecleat.rehearsal.day import Day, rolling_release
 
 ROUTES = ("read", "new-address")
-LINES = 30  # of a table
-AIMS = {"swaps": 20_000, "bytes": 0.1, "service": -0.02}
-READER_POLL, FRONT_POLL = 0.05, 0.1  # seconds: the reader's usual poll, the coordinator's
+TABLE_LINES = 30
+TARGETS = {
+    "swaps": 20_000,  # file replacements, at least
+    "bytes": 0.1,  # bytes written over those of a whole copy for each proxy, less than
+    "service": -0.02,  # difference of the service from that on streams, at least
+}
+READER_POLL_SECONDS = 0.05  # a reader's usual interval
+COORDINATOR_POLL_SECONDS = 0.1
 
 
-class Writer:
+class Publisher:
+    """A coordinator's side of the folder: the ledger, the disk and the lock."""
+
     def __init__(self, folder, proxies, sync="none"):
         self.disk = Disk(folder, sync)
         self.disk.prepare()
         self.lock = FolderLock(self.disk, "bench", 1)
-        found, self.names = scan_folder(self.disk, sweep=True), IndexMap()
-        for b in range(LINES):
+        found = scan_folder(self.disk, sweep=True)
+        self.names = IndexMap()
+        for b in range(TABLE_LINES):
             self.names(f"s-{b:08x}")
         self.ledger = Ledger(self.names, ROUTES, self.lock.fence, 1, found.generation)
         self.ledger.bodies = found.bodies
@@ -48,16 +57,18 @@
             self.ledger.join(p)
             for route in range(2):
                 self.ledger.bind(p, route, (route,))
-        self.state(0)
+        self.set_state(0)
+
+    def set_state(self, n):
+        """Sets state `n`: every weight of both tables tells the state, and one backend is withdrawn.
 
-    def state(self, n):
-        """Weights that name the state in every line, in both tables, and one backend that is shut out with it; states
-        come round after 9,000, as a figure in a file has six digits."""
+        States repeat after 9,000, because a number in a file has six digits.
+        """
         for route in range(2):
-            for b in range(LINES):
+            for b in range(TABLE_LINES):
                 self.ledger.set_weight(route, b, float(n % 9000 * 100 + b + 1))
-        for b in range(LINES):
-            self.ledger.withdraw(b, b == n % 9000 % LINES)
+        for b in range(TABLE_LINES):
+            self.ledger.withdraw(b, b == n % 9000 % TABLE_LINES)
 
     def publish(self):
         for step in self.ledger.steps():
@@ -67,84 +78,90 @@
             apply_step(self.disk, step)
 
 
-def read_on(folder, proxy, kept, stop, answers):
-    """One reader in a process of its own: looks as fast as it can and checks every state that it sees."""
-    follower, acted, torn, gaps, seen, looks = Follower(folder, proxy, kept), [], 0, 0, set(), 0
+def read_continuously(folder, proxy, kept, stop, results):
+    """Runs one reader in a process of its own, which polls as fast as it can and checks every state that it sees."""
+    follower = Follower(folder, proxy, kept)
+    retried = []  # calls that the reader was ordered to retry
+    torn = 0  # states in which the files did not fit together
+    gaps = 0  # polls without a backend to pick, after the first state
+    states_seen = set()
+    polls = 0
     while not stop.is_set():
-        acted += [order.call for order in follower.poll()]
-        looks += 1
-        lines = follower.view.in_force.weights
-        if not lines:
-            gaps += bool(seen)
+        retried += [order.call for order in follower.poll()]
+        polls += 1
+        weights = follower.view.in_force.weights
+        if not weights:
+            gaps += bool(states_seen)
             continue
-        first = lines["read"][f"s-{0:08x}"]
+        first = weights["read"][f"s-{0:08x}"]
         n = round((first - 1) / 100)
-        whole = all(lines[route] == {f"s-{b:08x}": first + b for b in range(LINES)} for route in ROUTES)
-        torn += not (whole and follower.view.in_force.withdrawn == {f"s-{n % LINES:08x}"})
+        consistent = all(weights[route] == {f"s-{b:08x}": first + b for b in range(TABLE_LINES)} for route in ROUTES)
+        torn += not (consistent and follower.view.in_force.withdrawn == {f"s-{n % TABLE_LINES:08x}"})
         gaps += not follower.view.pick_from("new-address")
-        seen.add(n)
-    answers.put((proxy, acted, torn, gaps, len(seen), looks))
+        states_seen.add(n)
+    results.put((proxy, retried, torn, gaps, len(states_seen), polls))
 
 
-def swaps(folder, publications, readers=3):
-    """Publications under readers; an order to try a call again every fifty."""
-    writer, stop, answers = Writer(folder / "d", readers), multiprocessing.Event(), multiprocessing.Queue()
-    writer.publish()
-    going = [
-        multiprocessing.Process(target=read_on, args=(folder / "d", p, folder / f"kept{p}", stop, answers))
+def measure_swaps(folder, publications, readers=3):
+    """Publishes under readers, with an order to retry a call in every fiftieth publication."""
+    publisher = Publisher(folder / "d", readers)
+    stop, results = multiprocessing.Event(), multiprocessing.Queue()
+    publisher.publish()
+    processes = [
+        multiprocessing.Process(target=read_continuously, args=(folder / "d", p, folder / f"kept{p}", stop, results))
         for p in range(readers)
     ]
-    for process in going:
+    for process in processes:
         process.start()
     ordered, begun = [], time.perf_counter()
     for n in range(1, publications + 1):
-        writer.state(n)
+        publisher.set_state(n)
         if n % 50 == 0:
             call = f"new-address {n}"
-            if writer.ledger.order_retry(n // 50 % readers, call, "refused") is not None:
+            if publisher.ledger.order_retry(n // 50 % readers, call, "refused") is not None:
                 ordered.append(call)
-        for p in range(readers):  # what readers would report: everything, some publications late
+        for p in range(readers):  # Acknowledges as readers would, here 40 publications late.
             if n % 20 == 0:
-                state = writer.ledger.proxies[p]
-                writer.ledger.acknowledge(
-                    p, max(writer.ledger.published.header.generation - 40, 0), state.generation, 0, 0
+                state = publisher.ledger.proxies[p]
+                publisher.ledger.acknowledge(
+                    p, max(publisher.ledger.published.header.generation - 40, 0), state.generation, 0, 0
                 )
-        writer.publish()
-        if n % 400 == 0:  # taken on by now; makes room for more
+        publisher.publish()
+        if n % 400 == 0:  # The readers have taken the orders by now; drops these to make room for more.
             time.sleep(0.05)
-            for state in writer.ledger.proxies.values():
+            for state in publisher.ledger.proxies.values():
                 state.retries, state.dirty = [], True
-    took = time.perf_counter() - begun
+    duration = time.perf_counter() - begun
     time.sleep(0.2)
     stop.set()
-    told = [answers.get(timeout=20) for _ in going]
-    for process in going:
+    by_reader = [results.get(timeout=20) for _ in processes]
+    for process in processes:
         process.join()
-    acted = [call for _, calls, *_ in told for call in calls]
+    retried = [call for _, calls, *_ in by_reader for call in calls]
     return {
-        "swaps": writer.ledger.counters["swaps"],
-        "swaps_a_second": round(writer.ledger.counters["swaps"] / took),
-        "torn": sum(t for _, _, t, *_ in told),
-        "gaps": sum(g for _, _, _, g, *_ in told),
-        "states_seen": [seen for *_, seen, _ in told],
-        "looks": sum(looks for *_, looks in told),
+        "swaps": publisher.ledger.counters["swaps"],
+        "swaps_a_second": round(publisher.ledger.counters["swaps"] / duration),
+        "torn": sum(torn for _, _, torn, *_ in by_reader),
+        "gaps": sum(gaps for _, _, _, gaps, *_ in by_reader),
+        "states_seen": [seen for *_, seen, _ in by_reader],
+        "looks": sum(polls for *_, polls in by_reader),
         "ordered_again": len(ordered),
-        "acted": len(acted),
-        "acted_twice": len(acted) - len(set(acted)),
+        "acted": len(retried),
+        "acted_twice": len(retried) - len(set(retried)),
     }
 
 
 def serve_files(folder, proxies, stop):
-    """All proxies of one measurement: each looks and reports at its poll."""
+    """Runs all proxies of one measurement: each polls at its interval and reports what it has applied."""
     followers = [Follower(folder, p) for p in range(proxies)]
     reports = [Report(f"p{p}", "a", 1, 0, 50) for p in range(proxies)]
-    due = [p / proxies * READER_POLL for p in range(proxies)]
+    due = [p / proxies * READER_POLL_SECONDS for p in range(proxies)]
     begun = time.monotonic()
     while not stop.is_set():
         now = time.monotonic() - begun
         for p in range(proxies):
             if due[p] <= now:
-                due[p] += READER_POLL * max(1, int((now - due[p]) / READER_POLL) + 1)
+                due[p] += READER_POLL_SECONDS * max(1, int((now - due[p]) / READER_POLL_SECONDS) + 1)
                 before = followers[p].view.in_force.applied
                 followers[p].poll()
                 if followers[p].view.in_force.applied != before:
@@ -153,52 +170,55 @@
         time.sleep(0.001)
 
 
-def to_acknowledged_files(folder, proxies, rounds):
-    writer, stop = Writer(folder, proxies), multiprocessing.Event()
-    writer.publish()
-    other = multiprocessing.Process(target=serve_files, args=(folder, proxies, stop))
-    other.start()
-    took, versions, number = [], {}, 0
-
-    def wait(since):
-        left = set(range(proxies))
-        while left:
-            time.sleep(max(FRONT_POLL - (time.perf_counter() - since) % FRONT_POLL, 0.001))
-            for called, version in writer.disk.list_files(REPORTS):
-                if versions.get(called) != version:
-                    versions[called] = version
-                    report = read_report(writer.disk.read(REPORTS, called))
+def measure_acknowledged_files(folder, proxies, rounds):
+    """Seconds from each decision to its acknowledgement by each proxy, through files."""
+    publisher, stop = Publisher(folder, proxies), multiprocessing.Event()
+    publisher.publish()
+    proxy_process = multiprocessing.Process(target=serve_files, args=(folder, proxies, stop))
+    proxy_process.start()
+    durations = []
+    versions = {}  # report's file name -> version last read
+    ack_number = 0
+
+    def wait_for_all(since):
+        remaining = set(range(proxies))
+        while remaining:
+            time.sleep(max(COORDINATOR_POLL_SECONDS - (time.perf_counter() - since) % COORDINATOR_POLL_SECONDS, 0.001))
+            for name, version in publisher.disk.list_files(REPORTS):
+                if versions.get(name) != version:
+                    versions[name] = version
+                    report = read_report(publisher.disk.read(REPORTS, name))
                     p = int(report.who[1:])
-                    if number in writer.ledger.acknowledge(p, *report.applied, 0, 0) and since:
-                        took.append(time.perf_counter() - since)
-                    if not any(p in who for _, who in writer.ledger.unacknowledged):
-                        left.discard(p)
+                    if ack_number in publisher.ledger.acknowledge(p, *report.applied, 0, 0) and since:
+                        durations.append(time.perf_counter() - since)
+                    if not any(p in waiting for _, waiting in publisher.ledger.unacknowledged):
+                        remaining.discard(p)
 
     for n in range(rounds + 1):
-        number += 1
-        writer.ledger.withdraw(n % LINES, n % 2 == 0)
+        ack_number += 1
+        publisher.ledger.withdraw(n % TABLE_LINES, n % 2 == 0)
         since = time.perf_counter()
-        writer.ledger.request_ack(number)
-        writer.publish()
-        wait(since)
+        publisher.ledger.request_ack(ack_number)
+        publisher.publish()
+        wait_for_all(since)
         if n == 0:
-            took.clear()  # the first look of all
+            durations.clear()  # The first publication is read by readers that have just started.
     stop.set()
-    other.join()
-    writer.lock.release()
-    return took
+    proxy_process.join()
+    publisher.lock.release()
+    return durations
 
 
 def serve_streams(address, proxies):
-    """All proxies of one measurement, on sockets: each answers every mark."""
-    ready, open_ones = selectors.DefaultSelector(), []
+    """Runs all proxies of one measurement on sockets: each answers every request for an acknowledgement."""
+    selector, connections = selectors.DefaultSelector(), []
     for p in range(proxies):
-        one = socket.create_connection(address)
-        one.sendall(f"{p}\n".encode())
-        open_ones.append(one)
-        ready.register(one, selectors.EVENT_READ, [b""])
-    while open_ones:
-        for key, _ in ready.select():
+        connection = socket.create_connection(address)
+        connection.sendall(f"{p}\n".encode())
+        connections.append(connection)
+        selector.register(connection, selectors.EVENT_READ, [b""])
+    while connections:
+        for key, _ in selector.select():
             data = key.fileobj.recv(65536)
             if not data:
                 return
@@ -209,57 +229,60 @@
                     key.fileobj.sendall(b"x" + line.rpartition(b"stamp=")[2] + b"\n")
 
 
-def to_acknowledged_streams(proxies, rounds):
-    listening = socket.create_server(("127.0.0.1", 0), backlog=1100)
-    other = multiprocessing.Process(target=serve_streams, args=(listening.getsockname(), proxies))
-    other.start()
+def measure_acknowledged_streams(proxies, rounds):
+    """Seconds from each decision to its acknowledgement by each proxy, through streams on sockets."""
+    listener = socket.create_server(("127.0.0.1", 0), backlog=1100)
+    proxy_process = multiprocessing.Process(target=serve_streams, args=(listener.getsockname(), proxies))
+    proxy_process.start()
     names = IndexMap()
-    for b in range(LINES):
+    for b in range(TABLE_LINES):
         names(f"s-{b:08x}")
-    streams, ready, took = Streams(names, ROUTES, None, None, None), selectors.DefaultSelector(), []
+    streams = Streams(names, ROUTES, None, None, None)
+    selector = selectors.DefaultSelector()
+    durations = []
     for _ in range(proxies):
-        one, _ = listening.accept()
-        number = int(one.makefile().readline())
-        ready.register(one, selectors.EVENT_READ)
-        streams.join(number, one, 20.0, True)
+        connection, _ = listener.accept()
+        number = int(connection.makefile().readline())
+        selector.register(connection, selectors.EVENT_READ)
+        streams.join(number, connection, 20.0, True)
     for route in range(2):
-        for b in range(LINES):
+        for b in range(TABLE_LINES):
             streams.set_weight(route, b, 1.0)
         for p in range(proxies):
             streams.bind(p, route, (route,))
     for n in range(rounds + 1):
-        streams.withdraw(n % LINES, n % 2 == 0)
+        streams.withdraw(n % TABLE_LINES, n % 2 == 0)
         since = time.perf_counter()
         streams.request_ack(n + 1)
-        left = 0
-        for one, message in streams.messages():
-            one.sendall(message)
-            left += 1
-        while left:
-            for key, _ in ready.select():
+        remaining = 0
+        for connection, message in streams.messages():
+            connection.sendall(message)
+            remaining += 1
+        while remaining:
+            for key, _ in selector.select():
                 for _ in range(key.fileobj.recv(4096).count(b"\n")):
-                    left -= 1
+                    remaining -= 1
                     if n:
-                        took.append(time.perf_counter() - since)
-    for key in list(ready.get_map().values()):
+                        durations.append(time.perf_counter() - since)
+    for key in list(selector.get_map().values()):
         key.fileobj.close()
-    listening.close()
-    other.join()
-    return took
+    listener.close()
+    proxy_process.join()
+    return durations
 
 
-def bytes_a_change(folder, proxies=400):
-    """One line of a shared table changes: what is written, beside a copy of the whole for each proxy."""
-    writer = Writer(folder, proxies)
-    writer.publish()
-    before, count = writer.ledger.counters["bytes"], 20
+def measure_bytes_per_change(folder, proxies=400):
+    """Bytes written when one line of a shared table changes, beside those of a whole copy for each proxy."""
+    publisher = Publisher(folder, proxies)
+    publisher.publish()
+    before, count = publisher.ledger.counters["bytes"], 20
     for n in range(count):
-        writer.ledger.set_weight(0, n % LINES, 0.5 + n)
-        writer.publish()
-    written = (writer.ledger.counters["bytes"] - before) / count
-    body = len(write_body_of(writer))
+        publisher.ledger.set_weight(0, n % TABLE_LINES, 0.5 + n)
+        publisher.publish()
+    written = (publisher.ledger.counters["bytes"] - before) / count
+    body = len(encode_table(publisher))
     orders = len(write_orders(Orders(Header(1, 1, 1, 1), 1, True, 1, dict.fromkeys(ROUTES, 0))))
-    writer.lock.release()
+    publisher.lock.release()
     return {
         "written": round(written),
         "naive": proxies * (2 * body + orders),
@@ -267,94 +290,103 @@
     }
 
 
-def write_body_of(writer):
+def encode_table(publisher):
     from cranecleat.files.format import Body
 
-    return write_body(Body(tuple((writer.names.ids[b], w) for b, w in writer.ledger.tables[0].items())))[0]
+    return write_body(Body(tuple((publisher.names.ids[b], w) for b, w in publisher.ledger.tables[0].items())))[0]
 
 
-def restart(folder, proxies=1000):
-    writer = Writer(folder, proxies)
-    writer.publish()
-    writer.lock.release()
+def measure_restart(folder, proxies=1000):
+    """Seconds until a restarted coordinator has read the folder, and until it has published."""
+    publisher = Publisher(folder, proxies)
+    publisher.publish()
+    publisher.lock.release()
     begun = time.perf_counter()
-    after = Writer(folder, proxies)
-    found = time.perf_counter() - begun
-    after.publish()
-    whole = time.perf_counter() - begun
-    after.lock.release()
-    return {"taken_up_s": round(found, 3), "serving_s": round(whole, 3)}
+    restarted = Publisher(folder, proxies)
+    read_time = time.perf_counter() - begun
+    restarted.publish()
+    serving_time = time.perf_counter() - begun
+    restarted.lock.release()
+    return {"taken_up_s": round(read_time, 3), "serving_s": round(serving_time, 3)}
 
 
-def day(job):
-    seed, more = job
-    return Day(rolling_release(seed, **more)).run()
+def run_day(job):
+    seed, settings = job
+    return Day(rolling_release(seed, **settings)).run()
 
 
-def days(pool, seeds):
+def measure_days(pool, seeds):
+    """The same days on streams, on files, and with a change from streams to files and back."""
     kinds = {"streams": {}, "files": {"files": True}, "over_and_back": {"streams_fail": True}}
-    found = list(pool.map(day, [(seed, more) for seed in seeds for more in kinds.values()]))
-    told = {}
+    days = list(pool.map(run_day, [(seed, settings) for seed in seeds for settings in kinds.values()]))
+    results = {}
     for i, kind in enumerate(kinds):
-        mine = found[i :: len(kinds)]
-        gain = [one["service"] - plain["service"] for one, plain in zip(mine, found[:: len(kinds)], strict=True)]
-        told[kind] = {
-            "service": round(statistics.mean(one["service"] for one in mine), 4),
+        of_kind = days[i :: len(kinds)]
+        gain = [
+            one["service"] - on_streams["service"] for one, on_streams in zip(of_kind, days[:: len(kinds)], strict=True)
+        ]
+        results[kind] = {
+            "service": round(statistics.mean(one["service"] for one in of_kind), 4),
             "beside_streams": round(statistics.mean(gain), 4),
             "error": round(statistics.stdev(gain) / len(gain) ** 0.5, 4) if i else 0.0,
-            "broken": [rule for one in mine for rule in one["broken"]],
+            "broken": [rule for one in of_kind for rule in one["broken"]],
         }
-    return told
+    return results
 
 
-def spread(values):
-    values = sorted(values)
+def percentiles(durations):
+    durations = sorted(durations)
     return {
-        "median_ms": round(values[len(values) // 2] * 1000, 1),
-        "p99_ms": round(values[int(len(values) * 0.99)] * 1000, 1),
+        "median_ms": round(durations[len(durations) // 2] * 1000, 1),
+        "p99_ms": round(durations[int(len(durations) * 0.99)] * 1000, 1),
     }
 
 
-def main(words):
-    quick, figures, missed = "--quick" in words, {}, []
+def main(arguments):
+    quick, results, missed = "--quick" in arguments, {}, []
 
-    def aim(holds, text):
+    def require(holds, text):
         if not holds:
             missed.append(text)
 
-    def say(text):
+    def progress(text):
         print(text, file=sys.stderr)
 
-    with tempfile.TemporaryDirectory(dir=os.environ.get("TMPDIR")) as place:
-        place = Path(place)
-        say("swaps under readers ...")
-        (place / "swaps").mkdir()
-        figures["swaps"] = told = swaps(place / "swaps", 10_500 if quick else 60_000)
-        aim(told["swaps"] >= AIMS["swaps"], f"only {told['swaps']} swaps")
-        aim(not (told["torn"] or told["gaps"] or told["acted_twice"]), f"torn, gaps or twice: {told}")
-        aim(told["acted"] > 0 and min(told["states_seen"]) > 50, f"readers saw too little: {told}")
+    with tempfile.TemporaryDirectory(dir=os.environ.get("TMPDIR")) as folder:
+        folder = Path(folder)
+        progress("file replacements under readers ...")
+        (folder / "swaps").mkdir()
+        results["swaps"] = result = measure_swaps(folder / "swaps", 10_500 if quick else 60_000)
+        require(result["swaps"] >= TARGETS["swaps"], f"only {result['swaps']} swaps")
+        require(
+            not (result["torn"] or result["gaps"] or result["acted_twice"]),
+            f"torn states, gaps or calls retried twice: {result}",
+        )
+        require(
+            result["acted"] > 0 and min(result["states_seen"]) > 50, f"readers saw too few states or orders: {result}"
+        )
         for proxies in (10, 100, 1000):
-            say(f"decision to acknowledged, {proxies} proxies ...")
+            progress(f"from decision to acknowledgement, {proxies} proxies ...")
             rounds = (8 if quick else 40) if proxies < 1000 else (3 if quick else 20)
-            figures[f"acknowledged_{proxies}"] = {
-                "files": spread(to_acknowledged_files(place / f"ack{proxies}", proxies, rounds)),
-                "streams": spread(to_acknowledged_streams(proxies, rounds)),
+            results[f"acknowledged_{proxies}"] = {
+                "files": percentiles(measure_acknowledged_files(folder / f"ack{proxies}", proxies, rounds)),
+                "streams": percentiles(measure_acknowledged_streams(proxies, rounds)),
             }
-        say("bytes and restart ...")
-        figures["bytes_a_change_400"] = bytes_a_change(place / "bytes")
-        aim(figures["bytes_a_change_400"]["part"] < AIMS["bytes"], f"bytes {figures['bytes_a_change_400']}")
-        figures["restart_1000"] = restart(place / "restart")
-    say("days on streams, on files, and over and back ...")
+        progress("bytes per change and restart ...")
+        results["bytes_a_change_400"] = measure_bytes_per_change(folder / "bytes")
+        require(results["bytes_a_change_400"]["part"] < TARGETS["bytes"], f"bytes {results['bytes_a_change_400']}")
+        results["restart_1000"] = measure_restart(folder / "restart")
+    progress("days on streams, on files, and from streams to files and back ...")
     with ProcessPoolExecutor() as pool:
-        figures["days"] = days(pool, range(1, 5) if quick else range(1, 17))
-    for kind, told in figures["days"].items():
-        aim(told["beside_streams"] >= AIMS["service"], f"{kind}: service {told['beside_streams']}")
-        aim(not told["broken"], f"{kind}: {told['broken'][:2]}")
-    figures["missed"] = missed
-    if "--json" in words:
-        print(json.dumps(figures))
+        results["days"] = measure_days(pool, range(1, 5) if quick else range(1, 17))
+    for kind, result in results["days"].items():
+        require(result["beside_streams"] >= TARGETS["service"], f"{kind}: service {result['beside_streams']}")
+        require(not result["broken"], f"{kind}: {result['broken'][:2]}")
+    results["missed"] = missed
+    if "--json" in arguments:
+        print(json.dumps(results))
     else:
-        for name, value in figures.items():
+        for name, value in results.items():
             print(f"{name:22} {value}")
     return bool(missed)
 
