--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -21,8 +21,8 @@
 from cranecleat.gossip.bridge import backend_key
 from cranecleat.gossip.roster import Member, Roster, member_number
 from cranecleat.gossip.seal import Signer
-from cranecleat.rehearsal.day import GOSSIP_STEP_US, START_UNIX_SECONDS, Day, swallowing
-from cranecleat.rehearsal.network import Network, Token, TokenChecker
+from cranecleat.rehearsal.day import GOSSIP_STEP_US, START_UNIX_SECONDS, Day, unresponsive_backends
+from cranecleat.rehearsal.network import HashChecker, HashSigner, Network
 from cranecleat.rehearsal.world import SECOND, Simulation
 
 TARGETS = {
@@ -38,12 +38,12 @@
         self.simulation = Simulation(seed)
         self.network = Network(self.simulation, loss=lost)
         names = [f"n{i}" for i in range(peers)]
-        members = [Member(name, (name, 1), (Token(name).public,)) for name in names]
+        members = [Member(name, (name, 1), (HashSigner(name).public,)) for name in names]
         self.agents = {}
         for i, name in enumerate(names):
             roster = Roster("spread", name, members)
             self.agents[name] = Agent(
-                roster, Token(name), f"{seed}:{name}", START_UNIX_SECONDS, 0, checker=TokenChecker(roster)
+                roster, HashSigner(name), f"{seed}:{name}", START_UNIX_SECONDS, 0, checker=HashChecker(roster)
             )
             self.network.receivers[name, 1] = lambda data, sender, name=name: self.network.send(
                 (name, 1), self.agents[name].received(self.simulation.now, self.unix_time(), data, sender)
@@ -95,7 +95,7 @@
 
 def run_day(job):
     seed, peers, settings = job
-    return Day(swallowing(seed, peers, **settings)).run()
+    return Day(unresponsive_backends(seed, peers, **settings)).run()
 
 
 def run_pairs(pool, peers, seeds, known, **more):
--- a/cranecleat/commands/rehearse.py
+++ b/cranecleat/commands/rehearse.py
@@ -28,12 +28,14 @@
     Prints the service (importance of the calls answered within the SLO time over that of all calls), how long each of
     the two backends was still sent calls, how many backends were falsely ejected, and every broken rule.
     """
-    from cranecleat.rehearsal.day import Day, swallowing
+    from cranecleat.rehearsal.day import Day, unresponsive_backends
 
     rows, results = [], []
     for with_gossip in (False, True):
         typer.echo(f"{'with' if with_gossip else 'without'} gossip ...", err=True)
-        result = Day(swallowing(seed, peers, round(seconds * 1e6), gossip=with_gossip, liars=lie, lost=lost)).run()
+        result = Day(
+            unresponsive_backends(seed, peers, round(seconds * 1e6), gossip=with_gossip, liars=lie, lost=lost)
+        ).run()
         results.append(result)
         rows.append(
             (
@@ -67,9 +69,9 @@
     Two versions of the planner decide alike if their output is the same. Otherwise `diff` shows the first event or
     decision in which they differ.
     """
-    from cranecleat.rehearsal.recording import DAYS, digests, lines, play
+    from cranecleat.rehearsal.recording import DAYS, digests, format_lines, play
 
     if name not in DAYS:
         fail(f"no recorded day {name!r}; there are {', '.join(DAYS)}")
-    for line in (digests if digest else lines)(play(DAYS[name]())):
+    for line in (digests if digest else format_lines)(play(DAYS[name]())):
         print(line)
--- a/cranecleat/rehearsal/day.py
+++ b/cranecleat/rehearsal/day.py
@@ -18,7 +18,7 @@
 from cranecleat.rehearsal.audit import Audit
 from cranecleat.rehearsal.edge import Channel, Folder, Proxy
 from cranecleat.rehearsal.fleet import Backend
-from cranecleat.rehearsal.network import Network, Token, TokenChecker
+from cranecleat.rehearsal.network import HashChecker, HashSigner, Network
 from cranecleat.rehearsal.world import SECOND, BufferedDraws, Simulation
 
 MILLISECOND = SECOND // 1000
@@ -102,7 +102,7 @@
         self.writer = CombinedWriter(self.channel, self.folder)
         self.recorder = day.make_recorder(number) if day.make_recorder else None
         if self.recorder:
-            self.writer = self.recorder.writer(self.writer)
+            self.writer = self.recorder.wrap_writer(self.writer)
         self.agent = self.bridge = None
         self.ejected_at = {}  # backend -> when it was ejected
         self.queue_event(("backends_listed", "whole", [self.list_entry(b) for b in day.fleet]))
@@ -122,7 +122,7 @@
         events = self.events
         self.events = []
         if self.recorder:
-            self.recorder.round(self.day.simulation.now, events)
+            self.recorder.begin_round(self.day.simulation.now, events)
         self.planner.round(self.day.simulation.now, events, self.writer)
         self.channel.flush()
         self.folder.flush()
@@ -238,18 +238,18 @@
         return Proxy(number, number % self.scenario.zones, {int(b): 1.0 for b in drawn})
 
     def start_gossip(self):
-        members = [Member(c.name, (c.name, 1), (Token(c.name).public,)) for c in self.coordinators]
+        members = [Member(c.name, (c.name, 1), (HashSigner(c.name).public,)) for c in self.coordinators]
         for c in self.coordinators:
             roster = Roster("rehearsal", c.name, members)
             agent_class = LyingAgent if c.number >= self.scenario.coordinators - self.scenario.liars else Agent
             c.bridge = Bridge(c.planner, self)
             c.agent = agent_class(
                 roster,
-                Token(c.name),
+                HashSigner(c.name),
                 f"{self.scenario.seed}:{c.name}",
                 START_UNIX_SECONDS,
                 self.simulation.now,
-                checker=TokenChecker(roster),
+                checker=HashChecker(roster),
                 rate=DEFAULT_BYTES_PER_SECOND,
             )
             c.address = (c.name, 1)
@@ -499,7 +499,7 @@
     )
 
 
-def swallowing(seed, coordinators, length=60 * SECOND, gossip=False, liars=0, lost=0.0, load=0.55, **more):
+def unresponsive_backends(seed, coordinators, length=60 * SECOND, gossip=False, liars=0, lost=0.0, load=0.55, **more):
     """A day on which one backend stops answering for good and one for 12 s, one dies and comes back cold, one drains.
 
     `load` is the work that is asked for, as a part of the fleet's capacity.
--- a/cranecleat/rehearsal/network.py
+++ b/cranecleat/rehearsal/network.py
@@ -6,7 +6,7 @@
 from cranecleat.rehearsal.world import SECOND
 
 
-class Token:
+class HashSigner:
     """Stands in for Ed25519 where thousands of datagrams a second are simulated: a keyed hash of the same length.
 
     Tests of the real keys, and the parts of `benchmarks/gossip.py` that measure their cost, use real keys.
@@ -19,7 +19,7 @@
         return hashlib.blake2b(use + digest + data, key=self.public, digest_size=64).digest()
 
 
-class TokenChecker:
+class HashChecker:
     """Verifies these signatures; stands in for the verifier of Ed25519."""
 
     def __init__(self, roster):
--- a/cranecleat/rehearsal/recording.py
+++ b/cranecleat/rehearsal/recording.py
@@ -21,7 +21,7 @@
 
     at: int  # microseconds since the start of the day
     coordinator: int
-    calls: list[str]
+    events: list[str]
     decisions: list[str] = field(default_factory=list)
 
 
@@ -31,14 +31,14 @@
     def __init__(self, rounds, coordinator):
         self._rounds, self._coordinator, self._writer = rounds, coordinator, None
 
-    def writer(self, writer):
+    def wrap_writer(self, writer):
         """Returns the writer to give to the planner: each decision is recorded and passed on to `writer`."""
         self._writer = writer
         return self
 
-    def round(self, now, calls):
+    def begin_round(self, now, events):
         """Begins a round with these events."""
-        self._rounds.append(Round(now, self._coordinator, [format_entry(*event) for event in calls]))
+        self._rounds.append(Round(now, self._coordinator, [format_entry(*event) for event in events]))
 
     def __getattr__(self, method):
         write = getattr(self._writer, method)
@@ -62,11 +62,11 @@
     return rounds
 
 
-def lines(rounds):
+def format_lines(rounds):
     """Yields every event and decision as a line."""
     for played_round in rounds:
         prefix = f"{played_round.at / SECOND:.6f} n{played_round.coordinator}"
-        yield from (f"{prefix} <- {event}" for event in played_round.calls)
+        yield from (f"{prefix} <- {event}" for event in played_round.events)
         yield from (f"{prefix} -> {decision}" for decision in played_round.decisions)
 
 
@@ -75,7 +75,7 @@
     sums = {}
     for played_round in rounds:
         totals = sums.setdefault((played_round.at // SECOND, played_round.coordinator), [0, 0, 0, 0])
-        for place, entries in ((0, played_round.calls), (2, played_round.decisions)):
+        for place, entries in ((0, played_round.events), (2, played_round.decisions)):
             totals[place] += len(entries)
             totals[place + 1] = zlib.crc32("\n".join(entries).encode(), totals[place + 1])
     for (second, coordinator), (events, event_crc, decisions, decision_crc) in sorted(sums.items()):
--- a/tests/gossip_harness.py
+++ b/tests/gossip_harness.py
@@ -10,7 +10,7 @@
 from cranecleat.gossip.seal import Signer
 from cranecleat.gossip.shell import GossipTransport
 from cranecleat.operator.file import GossipSettings
-from cranecleat.rehearsal.network import Token, TokenChecker
+from cranecleat.rehearsal.network import HashChecker, HashSigner
 from cranecleat.service.clock import Clock
 
 EPOCH = 1_700_000_000  # Unix time in seconds at which the simulated time begins
@@ -33,7 +33,7 @@
         self.is_lost = lambda sender, receiver, data: False
         self.partitioned = set()  # names that only reach each other
         self.log = []
-        self.members = [Member(name, (name, 1), (Token(name).public,)) for name in member_names(count)]
+        self.members = [Member(name, (name, 1), (HashSigner(name).public,)) for name in member_names(count)]
         self.rate = rate
         self.seed = seed
         self.agents = {}
@@ -45,11 +45,11 @@
         roster = Roster("test", name, self.members)
         self.agents[name] = Agent(
             roster,
-            Token(name),
+            HashSigner(name),
             f"{self.seed}:{name}:{life}",
             life,
             self.now,
-            checker=TokenChecker(roster),
+            checker=HashChecker(roster),
             rate=self.rate,
         )
         return self.agents[name]
--- a/tests/test_recorded_days.py
+++ b/tests/test_recorded_days.py
@@ -4,7 +4,7 @@
 import pytest
 
 from cranecleat import policy
-from cranecleat.rehearsal.recording import DAYS, Recorder, digests, lines, play
+from cranecleat.rehearsal.recording import DAYS, Recorder, digests, format_lines, play
 from planner_harness import assert_matches_trace
 
 
@@ -21,14 +21,14 @@
 def test_the_days_contain_the_situations_that_they_are_for(played):
     """Subsets in one of them only; running, draining and gone backends in both; refused calls in the small fleet."""
     tables = {
-        name: {line.split()[4] for line in lines(rounds) if " -> set_weight " in line}
+        name: {line.split()[4] for line in format_lines(rounds) if " -> set_weight " in line}
         for name, rounds in played.items()
     }
     assert len(tables["small_fleet"]) == 2 and len(tables["parted_fleet"]) > 5
     for rounds in played.values():
-        listed = [call for one in rounds for call in one.calls if call.startswith("backends_listed")]
+        listed = [call for one in rounds for call in one.events if call.startswith("backends_listed")]
         assert all(any(f"'{state}'" in call for call in listed) for state in ("running", "draining", "gone"))
-    levels = [line for line in lines(played["small_fleet"]) if " -> set_admission " in line]
+    levels = [line for line in format_lines(played["small_fleet"]) if " -> set_admission " in line]
     assert any(float(line.split()[-2]) < 1.0 for line in levels)
 
 
@@ -58,7 +58,7 @@
 
     rounds = []
     recorder = Recorder(rounds, 3)
-    writer = recorder.writer(Writer())
-    recorder.round(1_500_000, [("proxy_left", 7)])
+    writer = recorder.wrap_writer(Writer())
+    recorder.begin_round(1_500_000, [("proxy_left", 7)])
     assert writer.request_ack(5) == {5}
-    assert list(lines(rounds)) == ["1.500000 n3 <- proxy_left 7", "1.500000 n3 -> request_ack 5"]
+    assert list(format_lines(rounds)) == ["1.500000 n3 <- proxy_left 7", "1.500000 n3 -> request_ack 5"]
