--- a/cranecleat/policy.py
+++ b/cranecleat/policy.py
@@ -19,8 +19,16 @@
 an entry of a table, a withdrawal, a level, a binding. The design and its reasons are described in
 docs/design/planner.md.
 
-A backend's state is "running", "draining" or "gone". Where only "running" is tested, a backend in either of the other
-states is treated as one that drains. A roll-out replaces many backends within a short time by new ones, which are cold.
+A binding tells a proxy which table to use for a route. A proxy waits as long as it lacks the binding to one of its
+tables. A withdrawal tells proxies to send a backend nothing, even where a table still names it. A level tells them how
+many of a route's calls to admit, as a share or as calls per second (`Bootstrap.admission`). An ejected backend, which
+misses answers, keeps its entries, but gets few calls. Newcomers are proxies that joined too recently for reports to
+show what they use. Peers are the other coordinators. The fleet is all backends; a backend's size is its relative
+capacity, as listed.
+
+A round handles one batch of events. Periodic rounds come once per cycle; the first round is none. A backend's state is
+"running", "draining" or "gone". Where only "running" is tested, a backend in either of the other states is treated as
+one that drains. A roll-out replaces many backends within a short time by new ones, which are cold.
 
 Comments refer to these rules: (1) no joined proxy is without a backend to send to for long; (2) no call takes effect
 twice; (3) proxies stop sending to a backend that drains within the grace (`Bootstrap.grace`); (4) no cold backend is
@@ -28,9 +36,11 @@
 the code as it is may do harm.
 
 What happens when a backend drains or goes:
-    `backends_listed` notes it. `update_allocation` leaves it out of the tables. `write_changes` withdraws it, so that
-    proxies send it nothing more: at once where that is cheap, else after a short wait for other withdrawals. Where the
-    fleet is divided into subsets, `write_changes` removes it from the subsets' tables instead, with the same urgency.
+    `backends_listed` notes it. `update_allocation` gives it no multiplier any more. `write_changes` withdraws it, so
+    that proxies send it nothing more: at once where that is cheap, else after a short wait for other withdrawals. Its
+    entries are removed later, in a periodic round. Where the fleet is divided into subsets, `write_changes` removes
+    its entries instead, with the urgency of a withdrawal. Proxies that wait stop using it once they are bound; only if
+    that takes too long, or no proxy waits, is it withdrawn as well.
     `repeat_withdrawals` covers proxies that join meanwhile. `forget_removed_backends` forgets a backend long gone.
 What happens while a backend is cold:
     `warmth` is the share of its capacity that a backend of its age is assumed to serve. `capacities` and `apply_floor`
@@ -38,9 +48,10 @@
     served, `subset_members` names it in one table fewer, and `urgent_entries` finds tables that send a cold backend too
     much. In a roll-out, `capacities` also bounds the capacity that the fleet is believed to have.
 What happens on overload:
-    `learn_capacity` lowers the fleet's capacity when answers get slow. `update_allocation` grants each route what the
-    capacity allows, weighted so that more important routes get far more, and derives the admitted shares.
-    `write_changes` writes these as levels.
+    `learn_capacity` lowers the fleet's capacity when answers get slow. Until that has happened once, the fleet is
+    believed to serve whatever is asked, except in a roll-out. `update_allocation` grants each route what the capacity
+    allows, weighted so that more important routes get far more, and derives the admitted shares. `write_changes` writes
+    these as levels in periodic rounds.
 """
 
 import zlib
@@ -60,15 +71,15 @@
 
 # Allocation and learned capacity.
 ASSUMED_LOAD = 0.65  # share of the capacity in use, assumed where no load is reported
-CAPACITY_GROWTH = 1.1  # factor of the capacity per periodic round that is not slow; see `learn_capacity`
-GROWTH_MIN_LEVEL = 0.25  # the capacity grows only where more than this share of it is in use
+CAPACITY_GROWTH = 1.1  # in a periodic round that is not slow, the capacity grows by a power of it: `learn_capacity`
+GROWTH_MIN_FILL_LEVEL = 0.25  # CAPACITY_GROWTH applies only where more than this share of the capacity is in use
 MULTIPLIER_FLOOR = 0.1  # least multiplier of a backend, as a multiple of an equal share of the table
 MAX_ITERATIONS = 10  # of the multiplier loop
 # As a multiple of an equal share of the table: the loop has converged where no multiplier moves by this much.
 MULTIPLIER_TOLERANCE = 1e-9
 WEIGHT_TOLERANCE = 0.1  # share by which a weight may be off before it is written again
 LEVEL_TOLERANCE = 0.03  # share by which a level, or what a limited route is granted, may be off
-FILL_SLACK = 1.02  # factor of the lowest common utilization of the backends that carries the demand
+FILL_SLACK = 1.02  # backends may be filled to this multiple of the utilization that the demand needs: see `utilization`
 IMPORTANCE_FACTOR = 8.0  # weight of a route over the next less important one
 SLOW_SLO_SHARE = 0.55  # the fleet is slow where answers take more than this share of the tightest SLO time
 MIN_TRIES_FOR_LOSSES = 4  # up to so many tries, the losses of a backend count as chance
@@ -194,7 +205,7 @@
         self.zone_scale = {}
         self.demand = Demand(len(bootstrap.routes))
         self.users = Users(len(bootstrap.routes))
-        self.channel = Channel(self.message_overhead)
+        self.channel = Channel(self.message_overhead)  # an upper bound of the lines that wait; `charge` adds to it
         self.layout = Layout(bootstrap.routes, bootstrap.zones)
         self.acknowledged = self.channel.acknowledge  # the event of that name
         self.tables = {}  # table -> {backend: weight}, as last written; weights as the head of this module has them
@@ -213,8 +224,8 @@
         # Admission by route.
         self.admitted_shares = [1.0] * len(bootstrap.routes)
         self.granted_rates = [0.0] * len(bootstrap.routes)
-        # Admitted shares of the last periodic rounds, the oldest first. The reports that arrive now are about calls
-        # that were admitted by the oldest.
+        # Admitted shares of the last three periodic rounds, the oldest first. The reports that arrive now are about
+        # calls that were admitted by the oldest.
         self.recent_shares = [list(self.admitted_shares)] * 3
 
         self.scheduled = []  # heap of (time, sequence, action)
@@ -223,7 +234,7 @@
         self.attempt_totals = [0] * 3  # since the last periodic round: tries, answers, sum of answer times
         self.ack_number = zlib.crc32(f"{seed}:mark".encode()) % 65536  # differs from a previous run's numbers
         self.report_interval = 1.0  # cycles within which every entry has been in a report once
-        self.fill_level = 1.0  # share of their capacity to which backends are filled
+        self.fill_level = 1.0  # share of their capacity to which the waterfill may fill backends; at times less if cold
 
         # What the end of a round has to do.
         self.allocation_due = False  # the backends have changed
@@ -407,7 +418,7 @@
             self.attempt_totals = [sum(pair) for pair in totals]
         if answers:
             backend.record_answers(answers, answer_time, ANSWER_TIME_MEMORY)
-            # A backend that was ejected counts as starting from now on: see `unexplained_missing`.
+            # A backend that was ejected counts as starting from now on: `unexplained_missing` reads `due_since` so.
             backend.due_since = self.now if backend.ejected else backend.due_since
             backend.ejected = False
         if load and load[0] > IDLE_LOAD:
@@ -496,7 +507,8 @@
         intervals = backend.silent_intervals - 1 / self.report_interval
         silent_enough = intervals >= MIN_LOCAL_SILENT_INTERVALS
         missing = backend.missing_answers * intervals / backend.silent_intervals if silent_enough else 0.0
-        # A backend may be silent while it starts.
+        # A backend may be silent while it starts. For a running backend, `due_since` is when it was listed as running;
+        # `attempts_reported` sets it anew after an ejection.
         started = self.warmth(backend) >= 1.0 and self.now - backend.due_since > self.bootstrap.warm_up_time
         return missing if missing >= MIN_LOCAL_MISSING and started else 0.0
 
@@ -544,8 +556,9 @@
         slow_time = SLOW_SLO_SHARE * min(route.slo for route in self.bootstrap.routes)
         if answer_time > slow_time:
             # Only slow answers tell that the fleet is full. Known weakness: backends with very short queues.
-            # The capacity drops once and not again until the drop can show in reports. It is never put below what is
-            # served now, lowered a little so that queues shorten.
+            # The capacity drops once and not again until the drop can show in reports. It is never put below a part of
+            # the rate that is served now: the slower the answers, the smaller that part, down to QUEUE_DRAIN_SHARE. The
+            # part is below 1 so that queues shorten.
             capacity = self.fleet_capacity or served
             self.capacity_before_overload = (
                 self.capacity_before_overload if self.overloaded else capacity * self.fill_level
@@ -558,10 +571,11 @@
         elif self.fleet_capacity is None:
             self.fleet_capacity = served / ASSUMED_LOAD
         else:
-            # The capacity grows by a power of CAPACITY_GROWTH, the higher the further answers are from slow, or to
-            # halfway between it and the capacity in use before the overload, whichever is more.
-            growth_cycles = min(max(slow_time / max(answer_time, 1.0) - 1.0, 0.5), 3.0)
-            growth = CAPACITY_GROWTH**growth_cycles if self.fill_level > GROWTH_MIN_LEVEL else 1.0
+            # The capacity grows by CAPACITY_GROWTH to the power of `exponent`, which is greater the faster answers are,
+            # or to halfway between it and the capacity in use before the overload, whichever is more. Where little of
+            # the capacity is in use, only the latter applies.
+            exponent = min(max(slow_time / max(answer_time, 1.0) - 1.0, 0.5), 3.0)
+            growth = CAPACITY_GROWTH**exponent if self.fill_level > GROWTH_MIN_FILL_LEVEL else 1.0
             self.overloaded = False
             self.fleet_capacity = max(
                 self.fleet_capacity * growth, (self.fleet_capacity + self.capacity_before_overload) / 2
@@ -644,11 +658,11 @@
 
     def eligible_backends(self, route, zone):
         """The running backends that may serve a route, in one zone or, with `zone` None, in all."""
-        may_go = self.bootstrap.routes[route].allows
+        may_serve = self.bootstrap.routes[route].allows
         return [
             b
             for b, backend in self.running().items()
-            if may_go(backend.kind, backend.zone) and zone in (None, backend.zone)
+            if may_serve(backend.kind, backend.zone) and zone in (None, backend.zone)
         ]
 
     def subset_members(self, eligible, subset):
@@ -845,8 +859,9 @@
         the backends that remain."""
         changed = [b for b in backends if self.backends[b].withdrawn != withdrawn]  # the others are only repeated
         # Without subsets, all proxies may hold the backends if a table names one of those that change. With subsets,
-        # the withdrawal of one of the backends has to have been sent in an earlier round, too. In all other cases, and
-        # where withdrawals are only repeated, none but the proxies that wait may hold them.
+        # this holds only for backends that are let back in, if the withdrawal of one of them was sent in an earlier
+        # round: bound proxies lose the entry instead of a withdrawal. In all other cases, and where withdrawals are
+        # only repeated, none but the proxies that wait may hold the backends.
         is_named = any(b in weights for b in changed for weights in self.tables.values())
         all_may_hold = is_named and (
             not self.subset_count or any(0 < self.backends[b].withdrawal_sent_at < self.now for b in backends)
@@ -873,8 +888,9 @@
 
     def has_room(self, proxies, backlog_share, lines=1, table=None):
         """Rule 5: whether something may be written now, `lines` to each of the proxies. `backlog_share` is a
-        share as the BACKLOG_ constants are; below BACKLOG_WITHDRAWALS it stands for what can wait. Half of the messages
-        that are counted for the message limit stay free for what cannot wait."""
+        share as the BACKLOG_ constants are; below BACKLOG_WITHDRAWALS it stands for what can wait. None of that is
+        written while withdrawals are overdue. Half of the messages that are counted for the message limit stay free for
+        what cannot wait."""
         near_limit = self.channel.near_message_limit(
             proxies, self.now - self.bootstrap.message_limit_window, self.bootstrap.message_limit
         )
@@ -885,8 +901,9 @@
 
     def line_budget(self, backlog_share, proxy_count):
         """Lines that may wait in the channel when something is written to so many proxies: a share of the backlog or,
-        if that is less, of what the channel sends in half a grace. Except for immediate changes it may be more, up to
-        BACKLOG_MANY_PROXIES, so that the overhead of many messages leaves half of that share for their lines."""
+        if that is less, of what the channel sends in half a grace. Where the overhead of a message to each proxy would
+        take more than half of that, the budget is raised, up to BACKLOG_MANY_PROXIES of the backlog, so that half of it
+        is left for the messages' own lines. The budget of immediate changes is not raised."""
         half_grace_lines = self.bootstrap.channel_lines_per_second * self.bootstrap.grace / 2e6
         budget = backlog_share * min(self.bootstrap.backlog, half_grace_lines)
         with_overhead = budget / 2 + self.message_overhead * proxy_count
@@ -898,10 +915,11 @@
         wait is gathered for the periodic round."""
         changes = []  # (priority, negative change of the rate, table, backend, weight)
         unplaced = set()  # backends with a change of an entry that did not fit into the channel
-        filled = set()  # tables of subsets that had an entry written in this round
+        written_tables = set()  # tables of subsets that had an entry written in this round
         demands = self.demands()
         recently_withdrawn = self.recently_withdrawn()
         has_waiting = bool(self.users.waiting)
+        # They are written in each periodic round, and when the wait for others is over.
         withdrawals_due = periodic or self.withdraw_at is not None and self.now >= self.withdraw_at
         for table, routes, _, _ in self.layout:
             theta = self.theta.get(table, {})
@@ -914,21 +932,21 @@
                 old = weights.get(b, 0.0)
                 if abs(weight - old) > WEIGHT_TOLERANCE * old:
                     missing = old == 0.0 or self.backends[b].withdrawn
-                    usual = MISSING_ENTRY if missing else OTHER_CHANGE
-                    priority = EMPTY_TABLE if empty else SKEWED_TABLE if b in urgent else usual
+                    usual_priority = MISSING_ENTRY if missing else OTHER_CHANGE
+                    priority = EMPTY_TABLE if empty else SKEWED_TABLE if b in urgent else usual_priority
                     changes.append((priority, -abs(weight - old) * rate, table, b, weight))
             # Without any multipliers, a shared table keeps its entries and a subset's table loses them.
             for b in (b for b in weights if (theta or self.subset_count) and b not in theta):
                 leaving = self.subset_count and self.backends[b].state != "running"
-                usual = WITHDRAWN_BACKEND if b in recently_withdrawn else OTHER_CHANGE
-                priority = LEAVING_BACKEND if leaving else SKEWED_TABLE if b in self.cold_shares else usual
+                usual_priority = WITHDRAWN_BACKEND if b in recently_withdrawn else OTHER_CHANGE
+                priority = LEAVING_BACKEND if leaving else SKEWED_TABLE if b in self.cold_shares else usual_priority
                 changes.append((priority, -UNLIMITED, table, b, 0.0))  # sorts first within its priority
         self.entries_missing = self.writes_due = removals_wait = False
         for priority, _, table, b, weight in sorted(changes):
             users = self.users.of_table(table)
             pressing = priority < OTHER_CHANGE
             periodic_share = BACKLOG_NEW_ENTRIES if pressing or has_waiting else BACKLOG_WEIGHTS
-            immediate_share = BACKLOG_IMMEDIATE if pressing else 0.0
+            immediate_share = BACKLOG_IMMEDIATE if pressing else 0.0  # with 0.0 there is never room: it has to wait
             backlog_share = periodic_share if periodic else immediate_share
             if priority == LEAVING_BACKEND or priority == SKEWED_TABLE and not self.bindings_delayed:
                 # Rule 3: proxies that are bound to a subset's table hold no other entries, so this withdraws a backend.
@@ -938,13 +956,13 @@
                 backlog_share = min(backlog_share, BACKLOG_SKEWED_TABLES if skewed else BACKLOG_IMMEDIATE)
             # Entries of an empty table are written even without room in the channel; of a subset's empty table, only
             # the first one is. A table without proxies takes no lines in the channel.
-            can_wait = priority != EMPTY_TABLE or table in filled
+            can_wait = priority != EMPTY_TABLE or table in written_tables
             if can_wait and users and not self.has_room(users, backlog_share, 1, table):
                 removals_wait = removals_wait or priority == LEAVING_BACKEND
                 unplaced.add(b)  # its withdrawal is not lifted before the entry is written
                 self.entries_missing = self.entries_missing or priority in (EMPTY_TABLE, MISSING_ENTRY)
                 continue
-            filled.update((table,) if self.subset_count else ())
+            written_tables.update((table,) if self.subset_count else ())
             self.tables[table][b] = weight
             if not weight:
                 del self.tables[table][b]
@@ -975,7 +993,7 @@
             # for backends that a table names, nor while proxies wait for a binding, unless these are stuck.
             named = set().union(*self.tables.values())
             # The proxies count as stuck if the first of them has waited for over a cycle although bindings were not
-            # delayed: no table exists for it. Only the first one is looked at.
+            # delayed: then a table that it needs has no entries. Only the first one is looked at.
             first_waiting = next(iter(self.users.waiting.values()), None)
             stuck = (
                 first_waiting
@@ -1059,6 +1077,7 @@
         for proxy_id, routes in waiting.items() if self.fallback_backends else ():
             proxy = self.proxies[proxy_id]
             cost = self.binding_cost(self.fallback_backends, self.proxies[proxy_id])
+            # The fallback table has backends of all zones, so it cannot serve routes that stay in the proxy's zone.
             routes = [route for route in routes if not self.bootstrap.routes[route].own_zone]
             if routes and not proxy.on_fallback_table and self.has_room([proxy], BACKLOG_NEW_ENTRIES, cost):
                 self.writer.bind(proxy_id, fallback_table, routes)
@@ -1086,7 +1105,9 @@
                 self.writer.set_weight(fallback_table, self.fallback_backends.pop(), 0.0)
             return
         demands = self.demands()
-        candidates = []  # heap of (has a coordinator's tables, negative rate per entry, proxy, table, route)
+        # Heap of (has a coordinator's tables, negative rate per entry, proxy, table, route): proxies that hold only
+        # what they drew at their start come first; among equals, bindings with the most calls per entry.
+        candidates = []
         delayed = {}  # proxy -> routes whose binding does not go out in this round
         withdrawn = len(self.recently_withdrawn())
         running = self.running().values()
@@ -1131,7 +1152,7 @@
             self.writer.bind(proxy_id, table, (route,))
             self.users.bind(proxy_id, proxy, table)
             self.channel.charge([proxy], cost)
-            self.channel.exclude_new_binding(proxy, (table,))
+            self.channel.exclude_new_binding(proxy, (table,))  # earlier lines of the table did not go to this proxy
         if delayed and use_fallback:
             self.bind_to_fallback_table(delayed)
 
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -164,7 +164,7 @@
 
 
 def test_a_cold_backend_gets_less_while_more_is_asked_than_was_ever_served():
-    """Calls that are not refused yet reach the cold backend too. Warm backends may be full, a cold one falls over."""
+    """Calls that are not refused yet reach the cold backend too. Warm backends may be full, a cold one fails."""
     calm, burst = fleet_with_cold_backend(), fleet_with_cold_backend()
     for _ in range(3):
         report_second(calm, (10, 0, 0.1, None), (10, 0, 0.1, None))
@@ -195,7 +195,7 @@
 @pytest.mark.parametrize("cold, most_admitted", [((), 1.0), ((2, 3), 0.8)])
 def test_a_burst_amid_a_release_is_refused_before_anything_is_slow(cold, most_admitted):
     """Where no load is reported, the fleet is believed to serve what is asked until answers get slow. This does not
-    hold while many backends are cold: they would have fallen over by then."""
+    hold while many backends are cold: they would have failed by then."""
     harness = PlannerHarness(decisions=(), proxies=200, channel_lines_per_second=100.0, backlog=6000)
     harness.list_backends(*((b, "running", None) for b in range(4)))
     harness.join(1, 2)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""A short play for each failure of the planner that has occurred. docs/incidents describes them."""
+"""A scenario for each failure of the planner that has occurred. docs/incidents describes them."""
 
 from cranecleat.policy import FORGET_GRACES
 from planner_harness import SECOND, PlannerHarness, assert_matches_trace
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,5 @@
-"""A short play for the guard of each of the five rules."""
+"""One or more scenarios for each of the five rules that are listed at the head of cranecleat/policy.py, as traces of
+the planner's decisions."""
 
 from dataclasses import replace
 
