--- a/cranecleat/protocol/connections.py
+++ b/cranecleat/protocol/connections.py
@@ -22,7 +22,7 @@
 
 class Listener:
     """Accepts connections, a few per iteration of the loop. When hundreds arrive at once they neither block the loop
-    nor use up the descriptors before one of them can be ended."""
+    nor use up all descriptors before the oldest unidentified ones can be ended."""
 
     def __init__(self, coordinator, address):
         self.coordinator, self.loop = coordinator, asyncio.get_running_loop()
@@ -40,11 +40,14 @@
         try:
             for _ in range(ACCEPTS_PER_ITERATION):
                 accepted, _ = self.socket.accept()
-                task = self.loop.create_task(self.loop.connect_accepted_socket(self.coordinator.accept, accepted))
+                task = self.loop.create_task(
+                    self.loop.connect_accepted_socket(self.coordinator.make_connection, accepted)
+                )
                 self.pending.add(task)
                 task.add_done_callback(self.pending.discard)
         except OSError as failure:  # also when no connection is waiting, or the waiting one has been closed
             if failure.errno in OUT_OF_RESOURCES and not self.coordinator.drop_unidentified(failure.strerror):
+                # Descriptors are short, or memory of the kernel: see `says`.
                 self.coordinator.log_aggregated("no_descriptor", says=failure.strerror)
                 self.loop.remove_reader(self.socket)  # the loop would call it again and again without a pause
                 self.coordinator.clock.call_at(self.coordinator.clock.now() + ACCEPT_RETRY_US, self.resume)
@@ -59,7 +62,8 @@
 
 
 class Connection(asyncio.BufferedProtocol):
-    """Receives into pooled buffers, and writes one log line when it ends. Subclasses implement `consume`."""
+    """Receives into pooled buffers, and writes one log line when it ends. Subclasses implement `consume`, which handles
+    received data and returns the number of bytes used, and `log_identity`, the log fields that tell who the peer is."""
 
     max_buffered_bytes = MAX_MESSAGE_BYTES + 2 * BUFFER_BYTES  # received bytes that are not consumed yet
     terminator = None  # if set, `consume` is called only when newly received data contains it
@@ -107,7 +111,8 @@
         """Raises ProtocolError if the incomplete message in the buffer cannot become a valid one."""
 
     def write(self, message):
-        """Sends a message. Ends the connection when its peer has left too much unread, as a peer would do to us."""
+        """Sends a message. Ends the connection when more than MAX_UNREAD_BYTES wait in this process, beyond those that
+        the kernel has taken: a single large message may exceed this. Peers apply the same rule to the coordinator."""
         if self.reason:
             return
         self.transport.write(message)
@@ -115,7 +120,8 @@
             self.end(Reason.UNREAD, f"{self.transport.get_write_buffer_size()} bytes")
 
     def end(self, reason, detail=None):
-        """Ends the connection from this side and frees its resources at once. The first reason counts."""
+        """Ends the connection from this side. Frees its buffers and removes it from the coordinator's sets at once; the
+        loop closes its descriptor in a later iteration. The first reason counts."""
         if self.reason is None:
             self.reason, self.detail = reason, detail
             self.release()
--- a/cranecleat/protocol/http.py
+++ b/cranecleat/protocol/http.py
@@ -89,7 +89,7 @@
         return consumed
 
     def body_to_end(self, data, start, pieces):
-        """A body without a length goes on until the connection ends."""
+        """A body without a length goes on until the connection ends; the response never counts as complete."""
         self.remaining = len(data) - start
         return self.body_piece(data, start, pieces)
 
--- a/cranecleat/protocol/lines.py
+++ b/cranecleat/protocol/lines.py
@@ -1,4 +1,16 @@
-"""The line protocol at the coordinator's address: parses received lines into messages, and encodes table messages."""
+"""The line protocol at the coordinator's address: parses received lines into messages, and encodes table messages.
+
+The code and the wire use different names for some things. A code name is followed by the wire's:
+
+    proxy                node          zone                  locality
+    backend              endpoint      typical rate          w
+    table rows           rows          uses initial table    cold
+    admission level      gate          ack number            stamp (as asked for), nonce (as answered)
+    tries                again         withdraw, reinstate   drop, undrop
+
+The flag `cold` says that the proxy holds only the backends that it drew at its start. It has nothing to do with cold
+backends.
+"""
 
 import re
 
@@ -20,7 +32,8 @@
 KINDS = ("hb", "attach", "telemetry", "done", "client_stats", "upstream_stats")
 PREFIX_BYTES = 1 + max(map(len, KINDS))  # enough of a message's first bytes to tell whether its kind is known
 MESSAGE_START = re.compile(rb"(%s)( |$)" % b"|".join(kind.encode() for kind in KINDS))
-# Keys of a load report. Collectors send the first of each pair; the second is the documented one.
+# Keys of a load report. Collectors send the first key of each pair, and the second is the documented one. Both are
+# accepted.
 BUSY_KEYS = ("utilization", "util")
 SERVED_KEYS = ("throughput", "qps")
 
@@ -56,15 +69,18 @@
 
 
 def check_prefix(rest):
-    """Raises ProtocolError if `rest`, the beginning of an incomplete message, cannot become a valid message. Otherwise
-    the connection might wait for its end for ever."""
+    """Raises ProtocolError unless `rest`, the beginning of an incomplete message, begins with a known kind and a space,
+    or is a known kind or the beginning of one. Otherwise the connection might wait for the end of the message for ever.
+
+    Data that is cut between CR and LF after a kind without fields (`hb` and CR), or in an empty line, is refused as
+    well, although the complete line would be a message."""
     if rest and not MESSAGE_START.match(rest) and not any(kind.encode().startswith(rest) for kind in KINDS):
         raise ProtocolError(Reason.UNREADABLE, f"unknown kind of message: {rest[:40]!r}")
 
 
 class Message:
-    """One parsed message. The methods return a field in its type, and raise InvalidMessageError that names the field
-    if it is missing or malformed."""
+    """One parsed message. The methods, except `bad_value`, return a field in its type, and raise InvalidMessageError
+    that names the field if it is missing or malformed. Only `load` accepts that its field is missing."""
 
     def __init__(self, kind, values):
         self.kind, self.values = kind, values
@@ -75,6 +91,8 @@
         return self.values[name]
 
     def bad_value(self, name, value=None):
+        """The exception to raise for a field that is malformed or out of range. `value` is the part of the field that
+        the text shows; None: the whole field."""
         return InvalidMessageError(
             Reason.BAD_FIGURE, f"{self.kind}: {name}={(self.text(name) if value is None else value)[:40]}"
         )
@@ -107,7 +125,7 @@
         return indices[self.text(name)]
 
     def load(self, name):
-        """A load report as (busy cores, calls per second), or None if it does not hold both."""
+        """A load report as (busy cores, calls per second), or None if the field is missing or does not hold both."""
         report = {}
         for pair in filter(None, self.values.get(name, "").split(",")):
             key, colon, value = pair.rpartition(":")
@@ -121,16 +139,17 @@
 
 
 class MessageDecoder:
-    """Decodes messages into events of the planner, for one deployment. The methods are named by the kinds of messages.
-    A number that no deployment can reach makes a message invalid even if it is well-formed, as one such report would
+    """Decodes messages, for one deployment. The methods with the name of a kind of message decode that kind: `done`,
+    `client_stats` and `upstream_stats` into an event of the planner, `attach` and `telemetry` into their values. A
+    number that no deployment can reach makes a message invalid even if it is well-formed, as one such report would
     distort what the planner has learned for a long time."""
 
-    def __init__(self, zones, routes, proxies, backends, cycle, patience):
+    def __init__(self, zones, routes, proxies, backends, cycle, longest_call_timeout):
         self.zones, self.routes = zones, routes  # name -> index
         self.proxies = proxies  # their number; proxies are numbered from 0
-        self.backends = backends  # names and indices of the listed backends
+        self.backends = backends  # the IndexMap of the backends that have been listed and not been forgotten
         self.max_interval = cycle * MAX_REPORT_CYCLES
-        self.max_answer_time = patience * MAX_ANSWER_TIME_MULTIPLE
+        self.max_answer_time = longest_call_timeout * MAX_ANSWER_TIME_MULTIPLE
         self.typical_rate = 0.0  # calls per second of all joined proxies together, as they stated at attach
 
     def proxy(self, message):
@@ -140,6 +159,7 @@
         return number
 
     def telemetry(self, message):
+        """The collector's zone. The caller uses only the check that the zone is known."""
         return message.index("locality", self.zones)
 
     def attach(self, message):
@@ -152,11 +172,12 @@
         )
 
     def done(self, message):
-        message.duration("latency")
+        message.duration("latency")  # has to be valid, but is not used
         return ("acknowledged", self.proxy(message), message.integer("nonce"))
 
     def client_stats(self, message):
-        message.integer("errors")  # may exceed the total, as it may count calls of an earlier interval
+        # Has to be valid, but is not used. It may exceed the total, as it may count calls of an earlier interval.
+        message.integer("errors")
         return (
             "demand_reported",
             self.proxy(message),
@@ -165,15 +186,15 @@
         )
 
     def total_and_interval(self, message):
-        """The number of calls or tries, and the interval in microseconds in which they came. At most, all calls of the
-        deployment come to one proxy, and are retried; more than that is invalid."""
+        """The number of calls or tries, and the interval in microseconds in which they came. The limit allows for all
+        calls of the deployment, with retries, in one report; a larger total is invalid."""
         total, interval = message.integer("total"), message.duration("interval", 1, self.max_interval)
         if total > MAX_RATE_MULTIPLE * (1.0 + self.typical_rate * max(interval / US_PER_SECOND, 1.0)):
             raise message.bad_value("total")
         return total, interval
 
     def upstream_stats(self, message):
-        """None for a backend that was never listed, as its record would only take up memory."""
+        """None for a backend that was never listed or has been forgotten, as its record would only take up memory."""
         zone, backend = message.index("locality", self.zones), self.backends.index.get(message.text("endpoint"))
         total, interval = self.total_and_interval(message)
         event = (
@@ -190,8 +211,8 @@
 
 
 def encode_assign(routes=(), replace=False, rows=(), level=None, drop=(), undrop=(), stamp=None):
-    """One assign line without its line end; `join_lines` makes a message of several. `level` is an admission level as
-    (level, tries)."""
+    """One assign line without its line end; `join_lines` makes a message of several. `level` is the pair (admission
+    level, tries)."""
     words = ["assign"]
     if routes:
         words.append("for=" + "+".join(routes))
--- a/cranecleat/protocol/registry.py
+++ b/cranecleat/protocol/registry.py
@@ -1,4 +1,8 @@
-"""Discovery: the list of backends, and the watch that sends its changes."""
+"""Discovery: the list of backends, and the watch that sends its changes.
+
+In a list, `rev` is the version, `all` tells a whole list from changes, and `targets` are the backends. A backend has
+`uid` (its name), `state`, `az` (zone), `model` (kind), `capacity_hint` and `boot_ms` (start time).
+"""
 
 import asyncio
 import json
@@ -24,8 +28,8 @@
 
 
 def decode_entry(target, zones, kinds):
-    """One entry of a list as (name, state, zone, kind, capacity, start time in microseconds). The backend has no index
-    yet."""
+    """One entry of a list as (name, state, zone, kind, capacity, start time in microseconds). The name is not replaced
+    by the backend's index here; `Coordinator.update_backends` does that."""
     try:
         name, state, started = target["uid"], target["state"], target["boot_ms"] or 0
         capacity = target.get("capacity_hint", 1.0)
@@ -50,8 +54,9 @@
 
 
 def decode_list(document, zones, kinds):
-    """A list of backends, or changes of it, as (version, scope, entries, errors). An entry that cannot be used affects
-    no other one; `errors` maps its name, or None if that cannot be read, to the reason."""
+    """A list of backends, or changes of it, as (version, scope, entries, errors). The scope is "whole" or "changes". An
+    entry that cannot be used affects no other one; `errors` maps its name, or None if that cannot be read, to the
+    reason."""
     if not isinstance(document, dict) or not isinstance(document.get("targets"), list) or "all" not in document:
         raise ProtocolError(Reason.BAD_LIST, "not a list of backends")
     version, entries, errors = document.get("rev"), [], {}
@@ -67,7 +72,7 @@
 
 
 class LineSplitter:
-    """Splits the body of a watch, which comes in pieces, into lines."""
+    """Splits the body of a watch, which comes in pieces, into lines. Only an unfinished line is limited in length."""
 
     def __init__(self):
         self.partial = b""
@@ -79,7 +84,8 @@
         return complete
 
     def flush(self):
-        """The rest of a body that ends without a line break."""
+        """The rest of a complete response whose body ends without a line break. A body without a length never counts as
+        complete: its last line is lost if no line break follows it."""
         last, self.partial = self.partial, b""
         return [last]
 
@@ -100,7 +106,7 @@
     def connection_made(self, transport):
         super().connection_made(transport)
         self.discovery.watches.add(self)
-        self.check_silence()  # first, so that the watch is ended as silent whatever fails below
+        self.check_silence()  # before the write: schedules the check that ends the watch even if the write raises
         path = f"/registry/instances?watch=1&from={self.discovery.version}"
         self.write(http.build_get(":".join(map(str, self.address)), path))
 
@@ -121,9 +127,11 @@
 
     def check_silence(self):
         """Ends a watch without heartbeats, and schedules the next check. Such a watch may stay silent for ever while
-        the list changes. Where discovery itself is down, the only effect is a dial every second or two. Bytes that do
-        not complete a line are no heartbeat: a line may take as long as a heartbeat, and twice that at the next try,
-        so that a list that arrives slowly gets through in the end."""
+        the list changes. Where discovery itself is down, the only effect is a dial every second or two.
+
+        Bytes that do not complete a line are no heartbeat: a line may take HEARTBEAT_TIMEOUT_US, and MAX_AGENT_LAG_US,
+        which is twice as long, after a failure. So a list that arrives too slowly for the first limit may get through
+        at the next attempt. A list that takes longer than the second limit never gets through."""
         if self.reason:
             return
         line_due = self.last_line_at + min(HEARTBEAT_TIMEOUT_US << min(self.discovery.failures, 10), MAX_AGENT_LAG_US)
@@ -143,19 +151,21 @@
 
 
 class DiscoveryClient:
-    """Keeps one watch open, and passes its lists on to the coordinator. After a change of discovery's address the old
-    watch stays until the new one has sent a line, so that no change is missed in between. The end of a watch to an
-    earlier address starts no new dial."""
+    """Watches discovery: dials again whenever a dial or a watch has failed, and passes the lists on to the coordinator.
+    After a change of discovery's address the old watch stays until the new one has sent a line, so that no change is
+    missed in between. The end of a watch to an earlier address starts no new dial."""
 
     def __init__(self, coordinator, address, version, seed):
         self.coordinator, self.address, self.version, self.seed = coordinator, address, version, seed
         self.address_number = 0  # counts the changes of the address
         self.watches = set()
-        self.failures = 0  # dials and watches that failed in a row
+        # Dials that failed and watches that ended, in a row. A line on a watch to the current address resets it, and so
+        # does a change of the address.
+        self.failures = 0
         self.jitter_draws = 0
         self.dial_task = None
         self.dial_scheduled = False
-        self.version_at = coordinator.clock.now()  # when the list reached `version`
+        self.version_at = coordinator.clock.now()  # when the last list was accepted, also one of an equal version
 
     def change_address(self, address):
         if address == self.address:
@@ -209,7 +219,7 @@
         self.schedule_dial(watch.address_number)
 
     def watch_received_line(self, watch):
-        """A watch to the current address is in service: ends the watches to earlier addresses."""
+        """A watch has received a line, and so works. If it is a watch to the current address, all others are ended."""
         if watch.address_number == self.address_number:
             self.failures = 0
             for other in self.watches - {watch}:
@@ -220,11 +230,12 @@
 
         Two watches, or an agent that lags, may send a version older than the one that is known. For as long as an
         agent may lag, older changes are ignored, and an older whole list is refused together with its watch. After
-        that time the versions are taken to be counted from the start again: a whole list is accepted. Changes are
-        refused, as they do not tell what was missed, and the next watch asks for the whole list. This could do harm
-        where an agent lags by more than the limit: the list then goes back to the state that this agent has.
+        that time the agent is assumed to have restarted its version numbers: a whole list is accepted. Changes are
+        refused, as they do not tell what was missed; `version` becomes 0, so that the next watch asks for the whole
+        list. This could do harm where an agent lags by more than the limit: the list then goes back to the state that
+        this agent has.
 
-        The version is stored only after the list has been taken in."""
+        The version of an accepted list is stored only after the coordinator has taken the list in."""
         try:
             document = json.loads(line)
         except (ValueError, RecursionError) as error:
@@ -233,14 +244,14 @@
         version, scope, entries, errors = decode_list(document, decoder.zones, self.coordinator.kinds)
         now = self.coordinator.clock.now()
         if version < self.version:
-            known, may_lag = self.version, now - self.version_at < MAX_AGENT_LAG_US
+            last_version = self.version
+            may_lag = now - self.version_at < MAX_AGENT_LAG_US
             if may_lag and scope == "changes":
                 return
             if not may_lag and scope == "changes":
                 self.version = 0
             if may_lag or scope == "changes":
-                raise ProtocolError(
-                    Reason.BAD_LIST, f"version {version} after {known}{'' if may_lag else ', counted anew'}"
-                )
+                assumption = "" if may_lag else "; the agent is assumed to have restarted its version numbers"
+                raise ProtocolError(Reason.BAD_LIST, f"version {version} after {last_version}{assumption}")
         self.coordinator.update_backends(scope, entries, errors)
         self.version, self.version_at = version, now
--- a/cranecleat/service/coordinator.py
+++ b/cranecleat/service/coordinator.py
@@ -19,18 +19,20 @@
 from cranecleat.protocol.reasons import Reason
 from cranecleat.protocol.registry import DiscoveryClient
 
-SLOW_ROUND_CYCLES = 1 / 50  # a round that takes longer than this is logged
+# Report intervals (`Bootstrap.cycle`). A round is logged if it takes longer than this and than every round before it.
+SLOW_ROUND_CYCLES = 1 / 50
 
 
 class Coordinator:
-    """The state that all connections share. `failed` is called with the exception when the planner raises one."""
+    """The state that all connections share. `on_planner_failure` is called with the exception when the planner raises
+    one in a round, or the encoding of the round's messages does."""
 
-    def __init__(self, configuration, clock, log, failed):
+    def __init__(self, configuration, clock, log, on_planner_failure):
         self.configuration = configuration
         self.clock = clock
         self.log = log
-        self.failed = failed
-        self.names = IndexMap()
+        self.on_planner_failure = on_planner_failure
+        self.names = IndexMap()  # names of the backends and their indices
         self.kinds = configuration.kinds
         routes = {name: index for index, name in enumerate(configuration.routes)}
         self.decoder = MessageDecoder(
@@ -46,6 +48,7 @@
         self.unidentified = {}  # connections that have not said what they are, the oldest first; a dict as ordered set
         self.collectors = set()
         self.stopping = False
+        # The most unidentified connections, and also the most collectors.
         self.connection_quota = max(1, int(configuration.descriptors * DESCRIPTOR_SHARE))
         self.log_counts = {}  # (event, *fields) -> (how often since the last summary, detail of the last one)
         self.expiry_scheduled = False
@@ -60,7 +63,8 @@
         self.longest_round = 0  # microseconds
 
     def use_files_transport(self, transport, writer):
-        """Serves some proxies through files. Must be called before `start`, as both transports need all tables."""
+        """Serves some proxies through files. Must be called before `start`, as both transports need all tables, and
+        `start` runs the first round of the planner."""
         self.files, self.writer = transport, writer
 
     def start(self):
@@ -69,7 +73,8 @@
         self.update_backends("held", *self.configuration.known[1:])
         self.run_round()
 
-    def accept(self):
+    def make_connection(self):
+        """The protocol object of a newly accepted connection."""
         return Incoming(self)
 
     # Input from connections
@@ -83,9 +88,12 @@
                 self.clock.call_at(max(self.clock.now(), self.last_round_at + self.configuration.round), self.run_round)
 
     def update_backends(self, scope, entries, errors):
-        """Takes a list of backends or changes of it. An entry that cannot be used leaves its backend unchanged. A
-        whole list with such an entry is treated as changes in which the missing backends are gone. If the name of an
-        unusable entry cannot be read, any missing backend may be the one it names, and none counts as gone."""
+        """Takes a list of backends or changes of it. The scope is "whole" (all backends), "changes" (those that have
+        changed), or "held" (the last known list, which the coordinator is started with; it may be out of date).
+
+        An entry that cannot be used leaves its backend unchanged. A whole list with such an entry is treated as changes
+        in which the missing backends are gone. If the name of an unusable entry cannot be read, any missing backend may
+        be the one it names, and none counts as gone."""
         for error in errors.values():
             self.log_aggregated("bad_entry", detail=error)
         if errors and scope == "whole":
@@ -105,7 +113,11 @@
             self.join_stream(connection, zone, typical_rate, uses_initial_table)
 
     def join_stream(self, connection, zone, typical_rate, uses_initial_table):
-        """Serves a proxy on this stream from now on. An older stream of the same proxy is ended."""
+        """Serves a proxy on this stream from now on. An older stream of the same proxy is ended.
+
+        `uses_initial_table`: the proxy holds only the backends that it drew at its start, no table of a coordinator (in
+        the log `cold=`). `inherited`: the number of withdrawals that the proxy may still hold from earlier streams, of
+        this coordinator or of another one (in the log `brought=`)."""
         replaced, inherited = self.streams.join(connection.proxy, connection, typical_rate, uses_initial_table)
         self.decoder.typical_rate = self.streams.typical_rate()
         if replaced:
@@ -124,12 +136,13 @@
             self.files.stream_closed(connection, served)
 
     def is_waiting(self, connection):
-        """Whether a stream is not in use because its proxy is served through files. Messages on such a stream are
-        ignored, as the proxy's reports and acknowledgements come through files."""
+        """Whether a stream is only a standby, as its proxy is served through files. It is used once the proxy is served
+        through files no longer. Until then its messages are ignored, as the proxy's reports and acknowledgements come
+        through files."""
         return self.files is not None and connection.proxy in self.files.waiting_streams
 
-    # Limits on unidentified connections and collectors. They have no proxy number that bounds how many there are:
-    # hundreds may be opened, or left open when the network is cut.
+    # Limits on unidentified connections and collectors. Unlike streams, of which there is one for each proxy, their
+    # number has no natural bound: hundreds may be opened, or left open when the network is cut.
 
     def add_unidentified(self, connection):
         """Registers a new connection and ends the oldest unidentified ones while there are too many. The new one always
@@ -170,8 +183,8 @@
 
     def reclaim_buffers(self, requester):
         """Frees pool buffers for `requester` when none is left, by ending one connection: the oldest unidentified one
-        that holds buffers, else the one that holds the most, as only that one has too much partly received data.
-        Returns whether it was another connection than `requester`."""
+        that holds buffers, else the one that holds the most, as it has the most partly received data. That may be a
+        proxy's stream, a watch or `requester` itself. Returns whether it was another connection than `requester`."""
         holders = [connection for connection in self.unidentified if connection.receive_buffer.buffers]
         victim = (
             holders[0]
@@ -182,7 +195,8 @@
         return victim is not requester
 
     def log_aggregated(self, event, detail=None, **fields):
-        """Counts an event that may occur very often, for one log line per summary interval."""
+        """Counts an event that may occur very often. Each combination of event and fields gets one log line per summary
+        interval, with the count and the detail of the last occurrence."""
         if not self.log_counts:
             self.clock.call_at(self.clock.now() + LOG_SUMMARY_INTERVAL_US, self.flush_log_counts)
         key = event, *fields.items()
@@ -194,7 +208,8 @@
         self.log_counts.clear()
 
     def reload(self, configuration):
-        """Applies the address of discovery of a new configuration; everything else stays as it was at the start."""
+        """Applies the address of discovery of a new configuration. The other fields stay as they were at the start; the
+        names of those that differ are logged (`kept=`). Transports reload their own settings."""
         self.log.info(
             "reloaded",
             discovery=":".join(map(str, configuration.discovery)),
@@ -209,7 +224,7 @@
         self.log.info("planner", says=re.sub(r"(?<=backend )\d+", lambda m: self.names.ids[int(m[0])], text))
 
     def watch(self):
-        """Does nothing: protocol/registry.py keeps a watch open at all times and dials again when it fails."""
+        """Does nothing: `DiscoveryClient` watches discovery without being asked, and dials again when a watch ends."""
 
     def set_timer(self, at, number):
         self.clock.call_at(at, lambda: self.queue_event(("timer_fired", number)))
@@ -225,7 +240,7 @@
             self.planner.round(self.last_round_at, events, self.writer)
             messages = self.streams.messages()
         except Exception as failure:  # after an exception the planner's state is not reliable any more
-            self.failed(failure)
+            self.on_planner_failure(failure)
             return
         for connection, message in messages:
             connection.write(message)
--- a/cranecleat/service/logs.py
+++ b/cranecleat/service/logs.py
@@ -4,9 +4,9 @@
 import select
 import sys
 
-# Where the command line has installed rich, structlog imports it for console output. That import takes a third of the
-# processor time of a start, which hundreds of coordinators on a shared core pay at each restart. A module that is None
-# in sys.modules counts as not installed.
+# Where rich is installed, as the command-line tool needs it, structlog imports it for console output. That import takes
+# a third of the processor time of a start, which counts when hundreds of coordinators that share a core are restarted.
+# A module that is None in sys.modules counts as not installed.
 rich_module = sys.modules.setdefault("rich", None)
 import structlog  # noqa: E402
 
@@ -18,7 +18,7 @@
 
 class Sink:
     """Writes log lines without blocking. Lines for which the pipe has no room are dropped; the next line that is
-    written gives their number as `lost=`."""
+    written ends with their number as `lost=`. A line over MAX_LINE_BYTES is cut, and so loses this number."""
 
     def __init__(self, descriptor=1):
         self.descriptor = descriptor
--- a/cranecleat/service/run.py
+++ b/cranecleat/service/run.py
@@ -18,7 +18,8 @@
 EXIT_FAILED = 1
 EXIT_CANNOT_START = 2
 
-# Blocked before the event loop runs and after it has stopped: there they would end the process with another exit code.
+# Blocked from the start until `serve` has installed the handlers, and again at the end of `serve`: without the handlers
+# they would end the process with another exit code.
 HANDLED_SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP
 
 
@@ -42,11 +43,13 @@
 
     def handle_reload_signal():
         try:
-            changed = reread_configuration(os.environ)
-            operator_file = load_operator_file(os.environ, coordinator.configuration.name)
-            coordinator.reload(changed)
-            if gossip_transport and operator_file and operator_file.gossip:
-                gossip_transport.reload(operator_file.gossip)
+            new_configuration = reread_configuration(os.environ)
+            new_operator_file = load_operator_file(os.environ, coordinator.configuration.name)
+            coordinator.reload(new_configuration)
+            # Gossip and files are switched on or off only at a start: here such a change is ignored. If gossip refuses
+            # its new settings, discovery's new address is in force nevertheless.
+            if gossip_transport and new_operator_file and new_operator_file.gossip:
+                gossip_transport.reload(new_operator_file.gossip)
         except MalformedError as error:
             log.error("reload_failed", says=str(error))
 
--- a/cranecleat/service/start.py
+++ b/cranecleat/service/start.py
@@ -20,12 +20,12 @@
     seed: str
     memory: int  # bytes
     descriptors: int  # file descriptors that the process may use
-    round: int  # minimum time from one round to the next, in microseconds
+    round: int  # minimum time from one round of the planner to the next, in microseconds; not the report interval
     routes: tuple[str, ...]
     zones: dict[str, int]  # name -> index
     kinds: dict[str, int]  # name -> index
     proxies: int
-    patience: int  # the longest time limit of a call on any route, in microseconds
+    patience: int  # the longest time after which a client gives up a call, over all routes, in microseconds
     bootstrap: Bootstrap
     known: tuple[int, list, dict]  # the last known list of backends: version, entries, errors of unusable entries
 
@@ -98,8 +98,8 @@
 
 
 def reread_configuration(variables):
-    """The configuration as the file describes it now. A variable of a running process cannot be changed from outside.
-    So where a variable named the address of discovery at the start, the file names it from now on."""
+    """The configuration as the file describes it now. `BALANCER_DISCOVERY` counts only at the start: on a reload, the
+    address of discovery comes from the file, as a variable of a running process cannot be changed from outside."""
     return read_configuration({name: value for name, value in variables.items() if name != "BALANCER_DISCOVERY"})
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -136,7 +136,7 @@
 def test_an_invalid_message_is_dropped_and_the_valid_ones_around_it_are_used(tmp_path):
     fake, coordinator = make_coordinator(tmp_path)
     coordinator.start()
-    stream, collector, received = coordinator.accept(), coordinator.accept(), []
+    stream, collector, received = coordinator.make_connection(), coordinator.make_connection(), []
     coordinator.planner.round = lambda now, events, writer: received.extend(events)
     for connection, first in ((stream, ATTACH), (collector, "telemetry locality=a")):
         connection.connection_made(FakeEnvironment())
@@ -361,14 +361,14 @@
 def test_connections_that_do_not_identify_themselves_in_time_are_ended_with_one_timer_for_all(tmp_path):
     fake, coordinator = make_coordinator(tmp_path)
     for _ in range(50):  # connections that have ended leave nothing scheduled
-        closed = coordinator.accept()
+        closed = coordinator.make_connection()
         closed.connection_made(FakeEnvironment())
         closed.connection_lost(None)
-    silent, heartbeating_transport = coordinator.accept(), FakeEnvironment()
+    silent, heartbeating_transport = coordinator.make_connection(), FakeEnvironment()
     silent.connection_made(fake)
     receive(silent, b"attach nod")
     fake.advance_to(IDENTIFY_TIMEOUT_US / 2e6)
-    heartbeating, joining = coordinator.accept(), coordinator.accept()
+    heartbeating, joining = coordinator.make_connection(), coordinator.make_connection()
     heartbeating.connection_made(heartbeating_transport)
     joining.connection_made(FakeEnvironment())
     for piece in (b"hb\r\natt", b"ach node=3 locality=a w=", b"1 cold=1\r\n"):
@@ -404,7 +404,7 @@
     listener.coordinator, listener.socket, listener.loop = coordinator, SocketWithoutDescriptors(), fake
     fake.add_reader = lambda _, callback: readers.append(callback)
     fake.remove_reader = lambda _: readers.clear()
-    unidentified = coordinator.accept()
+    unidentified = coordinator.make_connection()
     unidentified.connection_made(FakeEnvironment())
     listener.resume()
     readers[0]()
@@ -420,7 +420,11 @@
 def test_buffers_are_reclaimed_from_unidentified_connections_first_then_from_the_largest_holder(tmp_path):
     _, coordinator = make_coordinator(tmp_path)
     coordinator.pool.max_buffers = 4
-    unidentified, heavy, light = [coordinator.accept() for _ in range(2)], coordinator.accept(), coordinator.accept()
+    unidentified, heavy, light = (
+        [coordinator.make_connection() for _ in range(2)],
+        coordinator.make_connection(),
+        coordinator.make_connection(),
+    )
     for connection in (heavy, light, *unidentified):
         connection.connection_made(FakeEnvironment())
     receive(heavy, b"telemetry locality=a\r\ndone ")
@@ -507,7 +511,7 @@
 
 def test_a_proxy_that_leaves_too_much_unread_is_disconnected(tmp_path):
     fake, coordinator = make_coordinator(tmp_path)
-    proxy = coordinator.accept()
+    proxy = coordinator.make_connection()
     proxy.connection_made(fake)
     proxy.write(b"x" * MAX_UNREAD_BYTES)
     assert not fake.aborted
@@ -520,7 +524,7 @@
     coordinator.start()
     events = []
     coordinator.planner.round = lambda now, batch, writer: events.extend(batch)
-    streams = [coordinator.accept() for _ in range(2)]
+    streams = [coordinator.make_connection() for _ in range(2)]
     for stream in streams:
         stream.connection_made(FakeEnvironment())
         receive(stream, b"attach node=3 locality=a w=1 cold=1\r\n")
@@ -535,7 +539,7 @@
 
 def test_reports_on_backends_that_were_never_listed_take_no_memory(tmp_path):
     _, coordinator = make_coordinator(tmp_path)
-    collector = coordinator.accept()
+    collector = coordinator.make_connection()
     collector.connection_made(FakeEnvironment())
     receive(collector, b"telemetry locality=a\r\n")
     for n in range(50):
@@ -550,7 +554,7 @@
     coordinator.planner.round = lambda now, events, writer: rounds.append(
         (now - 1_000_000_000, [name for name, *_ in events])
     )
-    streams = [coordinator.accept() for _ in range(2)]
+    streams = [coordinator.make_connection() for _ in range(2)]
     for number, stream in enumerate(streams):
         stream.connection_made(FakeEnvironment())
         receive(
--- a/tests/test_several_deployments.py
+++ b/tests/test_several_deployments.py
@@ -71,7 +71,7 @@
         self.streams, self.watch = [], Watch(self.coordinator, self.coordinator.discovery)
         self.watch.connection_made(RecordingEnvironment())
         receive(self.watch, RESPONSE_HEAD)
-        self.collector = self.coordinator.accept()
+        self.collector = self.coordinator.make_connection()
         self.collector.connection_made(RecordingEnvironment())
         receive(self.collector, f"telemetry locality={settings['localities'][0]}\r\n".encode())
 
@@ -90,7 +90,7 @@
         """One second, in which a proxy joins, a backend comes or goes, and the latest messages are acknowledged."""
         self.second += 1
         zones, routes = self.settings["localities"], [route["name"] for route in self.settings["requestClasses"]]
-        stream = self.coordinator.accept()
+        stream = self.coordinator.make_connection()
         stream.connection_made(RecordingEnvironment())
         receive(
             stream,
