--- a/cranecleat/protocol/limits.py
+++ b/cranecleat/protocol/limits.py
@@ -10,7 +10,7 @@
 MAX_LIST_BYTES = 1 << 22  # the unfinished line of a watch: enough for a list of some ten thousand backends
 
 # Plausibility of reports
-MAX_REPORT_CYCLES = 120  # the interval that one report may cover: far longer than reports are ever late
+MAX_REPORT_CYCLES = 120  # longest interval of one report, in report intervals: far longer than reports are ever late
 # An answer time may be at most this multiple of the longest time limit of a call. No answer takes longer, as the client
 # has given up long before.
 MAX_ANSWER_TIME_MULTIPLE = 4
@@ -18,7 +18,9 @@
 # typical rates in the interval of the report, or in one second if that is longer. Neither bursts nor retries nor the
 # calls taken over from failed proxies add up to that much.
 MAX_RATE_MULTIPLE = 30
-MAX_CPU_LOAD = 4  # multiple of a backend's CPU: load reports are noisy, but no machine is that busy
+# The largest utilization in a load report, as a multiple of a backend's CPU. These reports are noisy, but no machine is
+# that busy.
+MAX_CPU_LOAD = 4
 
 # Memory
 BUFFER_BYTES = 1 << 14  # a pooled receive buffer: holds many reports, or an attach message with room to spare
@@ -36,8 +38,9 @@
 # Time between the log lines that sum up frequent events, such as invalid messages.
 LOG_SUMMARY_INTERVAL_US = 5 * US_PER_SECOND
 DESCRIPTOR_SHARE = 1 / 4  # largest share of the descriptors for unidentified connections; the same again for collectors
-# Unidentified connections, except the newest, are ended while fewer than this share of the descriptors is free: it is
-# needed for connections that are being closed, and for discovery. Proxies and collectors may still use it up.
+# While the connections take up more than all but this share of the descriptors, unidentified ones except the newest are
+# ended. The share is meant for connections that are being closed, and for discovery. Proxies and collectors may still
+# use it up.
 SPARE_DESCRIPTOR_SHARE = 1 / 8
 # Connections that may wait to be accepted: all proxies after the failure of another coordinator, and unidentified ones.
 LISTEN_BACKLOG = 1024
@@ -54,8 +57,8 @@
 # The first bytes on a new watch have to come within this time; the agent sends them at once. Two such timeouts after a
 # heartbeat timeout still end within the 6 s.
 FIRST_RESPONSE_TIMEOUT_US = US_PER_SECOND
-# A discovery agent may be this far behind, as PROTOCOL states. After a failure, it is also the longest time from one
-# complete line of a watch to the next (see `Watch.check_silence`).
+# A discovery agent may be this far behind, as PROTOCOL states. After a failure, this is also the longest time that the
+# first line of the next watch may take (see `Watch.check_silence`).
 MAX_AGENT_LAG_US = 6 * US_PER_SECOND
 CONNECT_TIMEOUT_US = US_PER_SECOND // 2  # discovery's agent is on the same machine: it accepts at once or not at all
 # The shortest delay before discovery is dialled again. It is doubled for each failure in a row, the first one included,
--- a/cranecleat/protocol/lines.py
+++ b/cranecleat/protocol/lines.py
@@ -1,15 +1,19 @@
 """The line protocol at the coordinator's address: parses received lines into messages, and encodes table messages.
 
-The code and the wire use different names for some things. A code name is followed by the wire's:
-
-    proxy                node          zone                  locality
-    backend              endpoint      typical rate          w
-    table rows           rows          uses initial table    cold
-    admission level      gate          ack number            stamp (as asked for), nonce (as answered)
-    tries                again         withdraw, reinstate   drop, undrop
-
-The flag `cold` says that the proxy holds only the backends that it drew at its start. It has nothing to do with cold
-backends.
+The code and the wire use different names for some things:
+
+    code                   wire
+    proxy                  node
+    zone                   locality
+    backend                endpoint
+    typical rate           w
+    uses initial table     cold (it has nothing to do with cold backends)
+    answer time            rtt
+    load report            metrics
+    admission level        gate
+    tries                  again
+    withdraw, reinstate    drop, undrop
+    ack number             stamp (as it is asked for), nonce (as it is answered)
 """
 
 import re
--- a/cranecleat/protocol/registry.py
+++ b/cranecleat/protocol/registry.py
@@ -1,4 +1,5 @@
-"""Discovery: the list of backends, and the watch that sends its changes.
+"""Discovery: the list of backends, and the watch that sends its changes. The coordinator watches an agent of discovery
+on its own machine, which may lag behind.
 
 In a list, `rev` is the version, `all` tells a whole list from changes, and `targets` are the backends. A backend has
 `uid` (its name), `state`, `az` (zone), `model` (kind), `capacity_hint` and `boot_ms` (start time).
@@ -129,9 +130,9 @@
         """Ends a watch without heartbeats, and schedules the next check. Such a watch may stay silent for ever while
         the list changes. Where discovery itself is down, the only effect is a dial every second or two.
 
-        Bytes that do not complete a line are no heartbeat: a line may take HEARTBEAT_TIMEOUT_US, and MAX_AGENT_LAG_US,
-        which is twice as long, after a failure. So a list that arrives too slowly for the first limit may get through
-        at the next attempt. A list that takes longer than the second limit never gets through."""
+        Bytes that do not complete a line are no heartbeat: a line may take HEARTBEAT_TIMEOUT_US. After a failure, and
+        until a line has come, it may take MAX_AGENT_LAG_US, which is twice as long. So a list that arrives too slowly
+        for the first limit may get through at the next attempt. One that takes longer than the second never does."""
         if self.reason:
             return
         line_due = self.last_line_at + min(HEARTBEAT_TIMEOUT_US << min(self.discovery.failures, 10), MAX_AGENT_LAG_US)
--- a/cranecleat/service/start.py
+++ b/cranecleat/service/start.py
@@ -24,7 +24,7 @@
     routes: tuple[str, ...]
     zones: dict[str, int]  # name -> index
     kinds: dict[str, int]  # name -> index
-    proxies: int
+    proxies: int  # their number
     patience: int  # the longest time after which a client gives up a call, over all routes, in microseconds
     bootstrap: Bootstrap
     known: tuple[int, list, dict]  # the last known list of backends: version, entries, errors of unusable entries
