--- a/cranecleat/bookkeeping/known.py
+++ b/cranecleat/bookkeeping/known.py
@@ -5,26 +5,41 @@
     """A backend as it is listed, its reports as decaying sums, and what its answers say about its health."""
 
     def __init__(self):
-        self.state, self.zone, self.kind, self.size, self.started = "gone", 0, 0, 1.0, 0  # as listed
-        self.withdrawn = False
-        self.due_since = 0  # when its withdrawal, or its return, became due
-        self.last_present_at = 0  # when the list last had it in any state but gone
+        # As listed:
+        self.state = "gone"  # "running", "draining" or "gone"
+        self.zone = 0
+        self.kind = 0
+        self.size = 1.0  # capacity in relation to that of other backends
+        self.started = 0  # when it started, in microseconds; 0: not stated
+        self.withdrawn = False  # whether proxies are told not to use it
+        self.due_since = 0  # when its withdrawal, or the end of it, became due
+        # When an entry of the list, in any state, last named it, or a periodic round last found it not gone.
+        self.last_present_at = 0
         self.withdrawal_sent_at = 0  # when a proxy was last told to withdraw it
         self.reset_measurements()
 
     def reset_measurements(self):
         """Drops everything that was learned from reports."""
-        # Load reports as decaying sums: cores busy, calls per second, number of reports.
-        self.busy_cores = self.reported_rate = self.load_reports = 0.0
-        self.served_by_zone = {}  # zone -> [smoothed answers per second, over the zone's pace; when reported]
-        # Tries and unanswered ones as decaying sums; the mean answer time and the number of answers it rests on.
-        self.tries = self.unanswered = self.answer_time = self.answer_count = 0.0
-        # Since its last answer: report intervals that went by, and answers that were due.
-        self.silent_intervals, self.missing_answers, self.ejected = 0, 0.0, False
-        self.peer_missing_answers = 0.0  # answers that peers miss
+        # Load reports as decaying sums:
+        self.busy_cores = 0.0
+        self.reported_rate = 0.0  # calls per second
+        self.load_reports = 0.0  # number of reports
+        # zone -> [smoothed answers per second, divided by the zone's factor in `Planner.zone_scale`; when reported]
+        self.served_by_zone = {}
+        # Tries as decaying sums:
+        self.tries = 0.0
+        self.unanswered = 0.0  # tries without an answer
+        self.answer_time = 0.0  # mean, in microseconds
+        self.answer_count = 0.0  # number of answers that the mean rests on
+        # Since its last answer:
+        self.silent_intervals = 0  # report intervals that went by
+        self.missing_answers = 0.0  # answers that were expected by its share of the calls
+        # Whether its capacity counts as 0 because it seems to answer nothing (`Planner.eject_silent_backends`).
+        self.ejected = False
+        self.peer_missing_answers = 0.0  # answers of this backend that peers, other coordinators, miss
 
     def apply_list_entry(self, now, state, zone, kind, size, started):
-        """Takes over an entry of the list. A restart drops what was learned before it."""
+        """Takes an entry of the list. A restart, or the return of a backend that was gone, drops what was learned."""
         if (state == "running") != (self.state == "running"):
             self.due_since = now
         if state != "gone":
@@ -50,13 +65,16 @@
         self.silent_intervals, self.missing_answers = 0, 0.0
 
     def record_load(self, busy_cores, rate, keep):
-        """Adds a load report: cores busy, as they would be on a warm backend, and calls per second."""
+        """Adds a load report: cores busy, as they would be on a warm backend, and calls per second.
+
+        `keep` is the part that remains of the earlier sums.
+        """
         self.busy_cores = keep * self.busy_cores + busy_cores
         self.reported_rate = keep * self.reported_rate + rate
         self.load_reports = keep * self.load_reports + 1.0
 
     def decay(self, since, keep_tries, keep_served):
-        """Reduces what has not been reported since `since`.
+        """Reduces what has not been reported since `since`, by the factors `keep_tries` and `keep_served`.
 
         The sums of tries shrink if no zone has reported; the served rate of a zone shrinks if that zone has not.
         """
@@ -65,32 +83,42 @@
         for served in self.served_by_zone.values():
             served[0] *= keep_served if served[1] < since else 1.0
 
-    def reported_capacity(self, paces, coordinators):
+    def reported_capacity(self, zone_scale, coordinators):
         """The calls per second that it can take from this coordinator's proxies, by its load reports.
 
-        What the proxies of other coordinators use is subtracted.
+        The reported rate divided by `busy_cores` is taken as what the whole backend can serve; what the proxies of
+        other coordinators use is subtracted. `coordinators` is their number, `zone_scale` that of the planner.
         """
-        total, own = self.reported_rate / self.busy_cores, self.answer_rate(paces)
+        total, own = self.reported_rate / self.busy_cores, self.answer_rate(zone_scale)
         others = max(self.reported_rate / self.load_reports - own, 0.0) if coordinators > 1 else 0.0
         return max(total - others, own, 0.01) if others else max(total, 0.01)
 
-    def answer_rate(self, paces):
+    def answer_rate(self, zone_scale):
         """The calls per second that it answers to this coordinator's proxies."""
-        return sum(rate * paces.get(zone, 1.0) for zone, (rate, _) in self.served_by_zone.items())
+        return sum(rate * zone_scale.get(zone, 1.0) for zone, (rate, _) in self.served_by_zone.items())
 
 
 class Proxy:
     """A joined proxy: what it reports, which tables it is bound to, and what its messages cost."""
 
-    def __init__(self, number, zone, typical_rate, now, uses_initial_table, inherited):
-        self.number, self.zone, self.typical_rate, self.joined_at = number, zone, typical_rate, now
-        self.uses_initial_table = uses_initial_table  # it holds only the table that it drew at its start
+    def __init__(self, proxy_id, zone, typical_rate, now, uses_initial_table, inherited):
+        self.proxy_id = proxy_id
+        self.zone = zone
+        self.typical_rate = typical_rate  # calls per second that it stated when it joined
+        self.joined_at = now
+        # Whether it holds only the backends that it chose at its start, and no table from a coordinator.
+        self.uses_initial_table = uses_initial_table
         self.inherited = inherited  # number of withdrawals that it may still hold from an earlier stream
         self.rate_by_route = {}  # route -> calls per second
-        self.bound_tables, self.on_fallback_table = set(), False
-        self.subset = None  # its subset of the backends, where the fleet is split into subsets
-        self.message_cost = 0  # lines of this round's message, with its overhead
-        self.message_times = []  # when those messages were written that count against the message limit
+        self.bound_tables = set()  # tables of the layout; the fallback table is none of them
+        self.on_fallback_table = False  # whether it was bound to the table of `Planner.bind_to_fallback_table`
+        self.subset = None  # the subset that it is bound to; None: not bound yet, or the fleet is not split
+        # Lines of this round's message with its overhead, but without those of `Channel.table_lines`; what these hold
+        # from before a binding is subtracted in advance.
+        self.message_cost = 0
+        # When its last messages were written, for the message limit: as many as the limit, but all if the limit is 1.
+        self.message_times = []
 
     def call_rate(self):
+        """Calls per second: what it has reported, or its typical rate until then."""
         return sum(self.rate_by_route.values()) if self.rate_by_route else self.typical_rate
--- a/tests/test_bookkeeping.py
+++ b/tests/test_bookkeeping.py
@@ -46,7 +46,7 @@
     @invariant()
     def sums_match(self):
         rates = {p: sum(usage.values()) if usage else typical for p, (_, typical, _, usage) in self.proxies.items()}
-        newcomers = {p for p, (_, _, since, _) in self.proxies.items() if not self.demand.known[p][4]}
+        newcomers = {p for p, (_, _, since, _) in self.proxies.items() if not self.demand.proxies[p][4]}
         reported, unreported = self.demand.by_route()
         assert_close(self.demand.total_rate(), sum(rates.values()))
         assert_close(self.demand.newcomer_rate(), sum(rates[p] for p in newcomers))
@@ -83,7 +83,7 @@
         demand.join(i, 0, 1.0, now)
         joined_at[i] = now
         demand.update_settled(now - back)
-        assert {p for p, known in demand.known.items() if not known[4]} == {
+        assert {p for p, record in demand.proxies.items() if not record[4]} == {
             p for p, since in joined_at.items() if since > now - back
         }
 
