--- a/cranecleat/bookkeeping/channel.py
+++ b/cranecleat/bookkeeping/channel.py
@@ -63,7 +63,7 @@
         self.table_lines[table] = self.table_lines.get(table, 0) + lines
         self.queued_lines += lines * len(users)
 
-    def exclude_new_binding(self, proxy, tables):
+    def exclude_lines_before_binding(self, proxy, tables):
         """Called when a proxy is bound to tables, for the lines that the round charged to them before the binding.
 
         These lines went to the earlier users only, but `commit_round` charges the proxy for all of the round's lines of
--- a/cranecleat/bookkeeping/known.py
+++ b/cranecleat/bookkeeping/known.py
@@ -108,7 +108,7 @@
         self.joined_at = now
         # Whether it holds only the backends that it chose at its start, and no table from a coordinator.
         self.uses_initial_table = uses_initial_table
-        self.inherited = inherited  # number of withdrawals that it may still hold from an earlier stream
+        self.inherited_count = inherited  # number of withdrawals that it may still hold from an earlier stream
         self.rate_by_route = {}  # route -> calls per second
         self.bound_tables = set()  # tables of the layout; the fallback table is none of them
         self.on_fallback_table = False  # whether it was bound to the table of `Planner.bind_to_fallback_table`
--- a/cranecleat/policy.py
+++ b/cranecleat/policy.py
@@ -954,7 +954,7 @@
             # it back in. That takes another line.
             backend.withdrawal_sent_at = backend.withdrawal_sent_at or (self.now if backend.withdrawn else 0)
             may_need_withdrawal_line = backend.withdrawn or (
-                self.subset_count and weight and any(proxy.inherited for proxy in users)
+                self.subset_count and weight and any(proxy.inherited_count for proxy in users)
             )
             self.channel.charge_table(table, 1 + bool(may_need_withdrawal_line), users)
         to_restore = [
@@ -1070,8 +1070,8 @@
         withdrawals, and inherited withdrawals that are lifted. These are withdrawals that the proxy holds from another
         coordinator; its first binding here lifts them, with subsets only those of the table's backends. `withdrawn`:
         how many of the backends are withdrawn, if the caller knows."""
-        liftable = len(backends) if self.subset_count else proxy.inherited
-        lifted = 0 if proxy.bound_tables or proxy.on_fallback_table else min(proxy.inherited, liftable)
+        liftable = len(backends) if self.subset_count else proxy.inherited_count
+        lifted = 0 if proxy.bound_tables or proxy.on_fallback_table else min(proxy.inherited_count, liftable)
         withdrawn = sum(self.backends[b].withdrawn for b in backends) if withdrawn is None else withdrawn
         return 1 + len(self.bootstrap.routes) + len(backends) + withdrawn + lifted
 
@@ -1131,7 +1131,7 @@
             self.writer.bind(proxy_id, table, (route,))
             self.users.bind(proxy_id, proxy, table)
             self.channel.charge([proxy], cost)
-            self.channel.exclude_new_binding(proxy, (table,))
+            self.channel.exclude_lines_before_binding(proxy, (table,))
         if delayed and use_fallback:
             self.bind_to_fallback_table(delayed)
 
@@ -1161,7 +1161,7 @@
                 self.writer.bind(proxy_id, table, tuple(routes), True)
                 self.users.bind(proxy_id, proxy, table)
             self.channel.charge([proxy], cost if tables else 0)
-            self.channel.exclude_new_binding(proxy, [table for table, _ in tables])
+            self.channel.exclude_lines_before_binding(proxy, [table for table, _ in tables])
             self.subset_load[proxy.subset][0] += proxy.call_rate() if tables else 0.0
 
     def bindings_blocked(self, min_lines):
