--- a/cranecleat/interface.py
+++ b/cranecleat/interface.py
@@ -22,7 +22,7 @@
     zones: frozenset[int] | None  # only backends in these zones may serve it; None: in all
 
     def allows(self, kind: int, zone: int) -> bool:
-        """Whether a backend of that kind in that zone may serve the route."""
+        """Whether the route's lists of kinds and zones allow such a backend. `own_zone` is not looked at."""
         return (self.kinds is None or kind in self.kinds) and (self.zones is None or zone in self.zones)
 
 
@@ -34,14 +34,16 @@
     zones: int  # number of zones
     coordinators: int  # number of coordinators
     must_watch: bool  # whether the planner has to start the watch of the backend list
-    watch_timeout: int  # without an answer for this long, the list counts as known
-    # What an admission level is: "fraction": the share of the calls that a proxy admits; "per_second": the calls per
-    # second that each proxy admits; "silent": a share as well, but the planner does not lower it on overload.
+    watch_timeout: int  # time within which the watch has to answer; bounds the backoff of a failed watch
+    # What an admission level is:
+    # - "fraction": the share of the calls that a proxy admits;
+    # - "per_second": the calls per second that each proxy admits;
+    # - "silent": a share, as with "fraction", but the planner does not lower it on overload.
     admission: str
     cycle: int  # interval at which reports are gathered
-    backlog: int  # lines that may wait in the channel
+    backlog: int  # the most lines that may wait in the channel
     channel_lines_per_second: float  # lines that the channel usually sends per second
-    message_overhead: float  # lines that a message costs beside its own
+    message_overhead: float  # lines that a message costs beside its own, without the request for an acknowledgement
     message_limit: int  # messages to one proxy within `message_limit_window`; 0: no limit
     message_limit_window: int
     grace: int  # time within which proxies have to stop sending to a backend that drains
@@ -61,18 +63,17 @@
 
     def bind(self, proxy: int, table: int, routes: Iterable[int], is_subset: bool = False) -> None:
         """Binds routes of a proxy to a table. The message also withdraws those of the table's backends that are
-        withdrawn, and lifts withdrawals that the proxy holds of backends that are not. `is_subset`: the table names few
-        of the backends, and withdrawals that the proxy got from another coordinator are lifted for these backends
-        only."""
+        withdrawn, and reinstates backends that the proxy holds as withdrawn although they are not. `is_subset`: the
+        table names few of the backends, and only these are reinstated."""
         ...
 
     def withdraw(self, backend: int, withdrawn: bool) -> None:
-        """Tells proxies to send a backend nothing, or to use it again."""
+        """Withdraws a backend, so that proxies send it nothing, or reinstates it, so that they use it again."""
         ...
 
     def set_admission(self, table: int | None, routes: Iterable[int], level: float, tries: int) -> None:
-        """Sets how many of the routes' calls proxies admit, as a share or a rate (see `Bootstrap.admission`), and how
-        they retry. `table` None: for all tables."""
+        """Sets how many of the routes' calls proxies admit, as a share or a rate (see `Bootstrap.admission`), and, by
+        `tries`, how they retry: 1 for only on proof that the first try never ran. `table` None: for all tables."""
         ...
 
     def forget(self, backend: int) -> None:
@@ -89,7 +90,7 @@
         ...
 
     def set_timer(self, at: int, number: int) -> None:
-        """Asks for a round at a time. `number` tells timers apart."""
+        """Asks for a round to be run at the time `at`. `number` tells timers apart."""
         ...
 
     def log(self, text: str) -> None:
--- a/cranecleat/memory/streams.py
+++ b/cranecleat/memory/streams.py
@@ -2,7 +2,7 @@
 
 The planner works with tables that many proxies share, while a stream knows only its own routes. The decisions of a
 round are collected until `messages`, which returns what has to change at each proxy. Equal parts are encoded once for
-many proxies.
+many proxies. A `proxy` is a proxy's id here, and a `Stream` holds what is known of it.
 """
 
 from cranecleat.protocol.lines import encode_assign, join_lines
@@ -16,10 +16,12 @@
         self.typical_rate = typical_rate  # calls per second, as the proxy stated when it joined
         self.join_number = join_number  # messages go out in the order of joining
         self.is_subset = False  # see `Streams.bind`
-        self.table_by_route = {}
-        self.withdrawn = set()  # backends that are withdrawn on this stream
-        self.ever_withdrawn = ever_withdrawn  # backends that were ever withdrawn on any stream of the proxy
-        self.inherited = inherited  # backends that the proxy may still hold as withdrawn from an earlier stream
+        self.table_by_route = {}  # only the routes that are bound
+        self.withdrawn = set()  # backends that were withdrawn on this stream and not reinstated
+        # Backends that were ever withdrawn on any stream of the proxy: the same set object as in `Streams`.
+        self.ever_withdrawn = ever_withdrawn
+        # Backends that the proxy may still hold as withdrawn from an earlier stream, here or at another coordinator.
+        self.inherited = inherited
 
 
 class Streams:
@@ -31,11 +33,11 @@
         self.join_count = 0  # streams so far
         self.proxies_by_table = {}  # table -> proxies with a route bound to it
         self.joined = {}  # proxy -> stream
-        self.ever_withdrawn = {}  # proxy -> backends that it was ever told to withdraw
+        self.ever_withdrawn = {}  # proxy -> backends that it was ever told to withdraw; outlasts its streams
         self.tables = {}  # table -> {backend: weight}
-        self.withdrawn = set()
-        self.returned = set()  # backends that may have been withdrawn elsewhere and run again: see `backends_listed`
-        self.levels = {}  # (table or None for all, route) -> (level, tries)
+        self.withdrawn = set()  # backends that the planner has withdrawn
+        self.ever_left = set()  # backends that another coordinator may have withdrawn: see `backends_listed`
+        self.admissions = {}  # (table or None for all, route) -> (level, tries)
         self.clear()
 
     def clear(self):
@@ -43,7 +45,7 @@
         self.changed_weights = {}  # table -> {backend: weight}
         self.new_bindings = {}  # proxy -> routes
         self.changed_withdrawals = set()  # backends that were withdrawn or reinstated
-        self.changed_levels = set()  # (table or None for all, route)
+        self.changed_admissions = set()  # (table or None for all, route)
         self.ack_number = None
         self.prepared_messages = []  # (proxy, connection, bytes)
         # Caches: encoded parts, and the backends in each set of tables.
@@ -55,13 +57,14 @@
     def backends_listed(self, scope, entries):
         """Notes which backends a proxy may hold as withdrawn because another coordinator withdrew them.
 
-        These are all backends that have ever left, as seen here. Of the list that is held at the start they are those
-        that have been restarted, as they may have been withdrawn before.
+        These are the backends that are listed as not running, or are missing from a whole list. In the list that is
+        held at the start, a running backend with a start time has been restarted. It may have been withdrawn before
+        that, and is noted as well. `scope` and `entries` are those of `Planner.backends_listed`.
         """
         if scope == "whole":
-            self.returned.update(set(self.names.index.values()).difference(b for b, *_ in entries))
-        self.returned.update(
-            b for b, state, *_, started in entries if state != "running" or scope == "held" and started
+            self.ever_left.update(set(self.names.index.values()).difference(b for b, *_ in entries))
+        self.ever_left.update(
+            b for b, state, *_, started in entries if state != "running" or (scope == "held" and started)
         )
 
     def typical_rate(self):
@@ -69,19 +72,20 @@
         return sum(stream.typical_rate for stream in self.joined.values())
 
     def join(self, proxy, connection, typical_rate, uses_initial_table):
-        """Adds a stream; returns the stream it replaces, and how many withdrawals the proxy may hold from earlier ones.
+        """Adds a stream; returns the stream that it replaces, and the number of inherited withdrawals to be reinstated.
 
-        A proxy that holds ordered tables may have them from another coordinator, or from an earlier life of this one.
-        It may therefore hold any backend as withdrawn that has ever left.
+        Inherited are the withdrawals that the proxy may hold from earlier streams; those that are in force here are not
+        counted. A proxy with tables from a coordinator may have them from another one, or from an earlier run of this
+        one. It may therefore hold any backend as withdrawn that has ever left.
         """
         replaced, ever_withdrawn = self.joined.get(proxy), self.ever_withdrawn.setdefault(proxy, set())
-        inherited = set(ever_withdrawn) if uses_initial_table else ever_withdrawn | self.returned
+        inherited = set(ever_withdrawn) if uses_initial_table else ever_withdrawn | self.ever_left
         if replaced:
             self.unbind(proxy, replaced)
         self.join_count += 1
         self.joined.pop(proxy, None)  # so that it becomes the last in the order of joining
         self.joined[proxy] = Stream(connection, typical_rate, ever_withdrawn, inherited, self.join_count)
-        return replaced, len(inherited - self.withdrawn)  # those that are withdrawn here are not reinstated
+        return replaced, len(inherited - self.withdrawn)
 
     def leave(self, proxy, connection):
         """Ends a stream. Returns False, and does nothing, if the proxy has a newer stream or none."""
@@ -93,12 +97,14 @@
         return is_current
 
     def unbind(self, proxy, stream):
+        """Takes a proxy off the tables that its stream is bound to."""
         for table in set(stream.table_by_route.values()):
             self.proxies_by_table[table].discard(proxy)
 
     # What the planner decides
 
     def set_weight(self, table, backend, weight):
+        """Sets an entry of a table; weight 0 removes it."""
         weights = self.tables.setdefault(table, {})
         weights[backend] = weight
         if not weight:
@@ -108,8 +114,8 @@
     def bind(self, proxy, table, routes, is_subset=False):
         """Binds routes of a proxy to a table.
 
-        With `is_subset`, an inherited withdrawal is taken back once a table of the proxy names the backend; otherwise
-        all of them are taken back at once.
+        With `is_subset`, a backend that the proxy holds as withdrawn, and that is not withdrawn here, is reinstated
+        once a table of the proxy names it; otherwise all of them are reinstated at once. See `withdrawal_parts`.
         """
         if proxy in self.joined:
             self.joined[proxy].is_subset, table_by_route = is_subset, self.joined[proxy].table_by_route
@@ -121,22 +127,24 @@
                 self.new_bindings.setdefault(proxy, set()).add(route)
 
     def withdraw(self, backend, withdrawn):
+        """Withdraws a backend, or reinstates it if `withdrawn` is false."""
         (self.withdrawn.add if withdrawn else self.withdrawn.discard)(backend)
         self.changed_withdrawals.add(backend)
 
     def forget(self, backend):
         """Frees the name and the index of a backend that no table names and no proxy is told of any more."""
         self.withdrawn.discard(backend)
-        self.returned.discard(backend)
+        self.ever_left.discard(backend)
         on_streams = (held for s in self.joined.values() for held in (s.withdrawn, s.inherited))
         for backends in (*self.ever_withdrawn.values(), *on_streams):
             backends.discard(backend)
         self.names.forget(backend)
 
     def set_admission(self, table, routes, level, tries):
+        """Sets level and tries of routes in one table or, with `table` None, in all."""
         for route in routes:
-            self.levels[table, route] = level, tries
-            self.changed_levels.add((table, route))
+            self.admissions[table, route] = level, tries
+            self.changed_admissions.add((table, route))
 
     def request_ack(self, ack_number):
         """Comes last in a round. Returns the proxies that get a message; one that knows everything gets none."""
@@ -153,6 +161,11 @@
         return [message for _, *message in prepared]
 
     def build_messages(self):
+        """Yields (proxy, connection, bytes) for each proxy with something new, and records withdrawals as sent.
+
+        It runs once a round: what it has yielded counts as sent.
+        """
+        # Whether the round changed a withdrawal, or the weight of a withdrawn backend, which its table may name by now.
         self.affects_withdrawals = bool(self.changed_withdrawals) or any(
             b in self.withdrawn for weights in self.changed_weights.values() for b in weights
         )
@@ -166,10 +179,10 @@
 
     def affected_proxies(self):
         """Proxies that the round may change something for, in the order of joining: all, or users of changed tables."""
-        if self.changed_withdrawals or any(table is None for table, _ in self.changed_levels):
+        if self.changed_withdrawals or any(table is None for table, _ in self.changed_admissions):
             return list(self.joined)
         proxies = {p for p in self.new_bindings if p in self.joined}
-        for table in (*self.changed_weights, *(table for table, _ in self.changed_levels)):
+        for table in (*self.changed_weights, *(table for table, _ in self.changed_admissions)):
             proxies |= self.proxies_by_table.get(table, set())
         return sorted(proxies, key=lambda p: self.joined[p].join_number)
 
@@ -181,26 +194,30 @@
         return self.encoded[key]
 
     def message_parts(self, stream, new_routes):
-        """The encoded parts of a message: weights, levels, then withdrawals."""
-        parts, groups = [], {}
+        """The encoded parts of a message: weights, levels, then withdrawals, which it records as sent."""
+        parts, routes_by_table = [], {}
         for route, table in sorted(stream.table_by_route.items()):
-            groups.setdefault((route in new_routes, table), []).append(route)
-        for (is_new, table), routes in groups.items():
+            routes_by_table.setdefault((route in new_routes, table), []).append(route)
+        for (is_new, table), routes in routes_by_table.items():
             if is_new or table in self.changed_weights:
                 parts.append(self.encode_once(self.encode_rows, table, tuple(routes), is_new))
-        levels = {}
+        routes_by_admission = {}  # (level, tries), or None where none is set -> routes
         for route in range(len(self.routes)):
             table = stream.table_by_route.get(route)
-            if route in new_routes or {(None, route), (table, route)} & self.changed_levels:
-                levels.setdefault(self.effective_level(table, route), []).append(route)
+            if route in new_routes or {(None, route), (table, route)} & self.changed_admissions:
+                routes_by_admission.setdefault(self.effective_admission(table, route), []).append(route)
         parts += [
-            self.encode_once(encode_assign, self.route_names(routes), level=level)
-            for level, routes in levels.items()
-            if level
+            self.encode_once(encode_assign, self.route_names(routes), level=admission)
+            for admission, routes in routes_by_admission.items()
+            if admission
         ]
+        # With a subset, a changed weight may name a backend that the proxy still holds as withdrawn, and which is then
+        # reinstated.
         may_reinstate = stream.is_subset and (stream.withdrawn or stream.inherited)
         bound_tables = stream.table_by_route.values()
-        changed = self.affects_withdrawals or may_reinstate and not self.changed_weights.keys().isdisjoint(bound_tables)
+        changed = self.affects_withdrawals or (
+            may_reinstate and not self.changed_weights.keys().isdisjoint(bound_tables)
+        )
         return parts + (self.withdrawal_parts(stream, bool(new_routes)) if new_routes or changed else [])
 
     def encode_rows(self, table, routes, is_new):
@@ -210,17 +227,26 @@
         return encode_assign(self.route_names(routes), is_new, rows)
 
     def route_names(self, routes):
+        """The names of routes given by index."""
         return tuple(self.routes[route] for route in routes)
 
-    def effective_level(self, table, route):
-        """Where a level is set for all tables and one for this table, the lower one holds, with this table's tries."""
-        both = [self.levels[key] for key in ((None, route), (table, route)) if key in self.levels]
-        return (min(level for level, _ in both), both[-1][1]) if both else None
+    def effective_admission(self, table, route):
+        """The (level, tries) of a route in a table; None if none is set.
+
+        Where one is set for all tables and one for this table, the lower level holds, with this table's tries.
+        """
+        found = [self.admissions[key] for key in ((None, route), (table, route)) if key in self.admissions]
+        return (min(level for level, _ in found), found[-1][1]) if found else None
 
     def withdrawal_parts(self, stream, has_new_binding):
-        """Withdrawals and reinstatements that the stream lacks.
+        """Withdrawals and reinstatements that the stream lacks; they count as sent from now on.
+
+        The withdrawal of a backend is sent if a table of the proxy names it. While some routes of the proxy are not
+        bound, it is also sent if the round changed it, as the proxy may use the backend on these routes.
 
-        A proxy that was bound keeps exactly what is withdrawn here; anything else that it may hold is reinstated.
+        A backend that is not withdrawn here, but that the proxy holds or may hold as withdrawn, is reinstated at each
+        new binding, or if the round changed its withdrawal. With `is_subset`, the conditions are those by which a
+        withdrawal is sent; other backends stay as they are at the proxy.
         """
         tables = frozenset(stream.table_by_route.values())
         if tables not in self.backends_in_tables:
--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -146,10 +146,10 @@
         self.trace.append(f"# {text}")
 
     def join(self, proxy, uses_initial_table=True):
-        """Joins a proxy; returns how many withdrawals it may hold from an earlier stream."""
-        _, inherited = self.streams.join(proxy, object(), 20.0, uses_initial_table)
-        self.comment(f"proxy {proxy} joins{'' if uses_initial_table else ' with ordered tables'}")
-        return inherited
+        """Joins a proxy; returns how many withdrawals, to be reinstated, it may hold from an earlier stream."""
+        _, inherited_count = self.streams.join(proxy, object(), 20.0, uses_initial_table)
+        self.comment(f"proxy {proxy} joins{'' if uses_initial_table else ' with tables from a coordinator'}")
+        return inherited_count
 
     def flush(self):
         """The round's messages by proxy; they are appended to the trace as well."""
@@ -163,8 +163,8 @@
 def message_cost(message, overhead):
     """The lines that a message takes in the channel, by PROTOCOL.
 
-    These are the overhead, and one line for each weight, backend withdrawn or reinstated, level, request for an
-    acknowledgement and replaced table.
+    These are the overhead, which does not contain the request for an acknowledgement here, and one line for each
+    weight, backend withdrawn or reinstated, level, request for an acknowledgement and replaced table.
     """
     words = [word.partition("=") for line in message.split("\r\n") for word in line.split(" ")]
     lists = sum(len(value.split(",")) for name, _, value in words if name in ("rows", "drop", "undrop"))
--- a/tests/test_stream_messages.py
+++ b/tests/test_stream_messages.py
@@ -89,7 +89,7 @@
     assert_matches_trace("orders_withdrawals", harness.trace)
 
 
-def test_an_inherited_withdrawal_is_taken_back_when_the_proxy_is_bound():
+def test_an_inherited_withdrawal_is_reinstated_when_the_proxy_is_bound():
     harness = with_bound_proxies(1)
     harness.streams.withdraw(1, True)
     harness.flush()
@@ -107,7 +107,7 @@
     harness.streams.backends_listed("held", [(b, "running", 0, 0, 1.0, 90 * SECOND * (b == 3)) for b in range(4)])
     harness.streams.backends_listed("changes", [(b, "gone", 0, 0, 1.0, 0) for b in (1, 2)])
     harness.comment(
-        f"may hold {harness.join(5, uses_initial_table=False)}: from another coordinator, or from an earlier life"
+        f"may hold {harness.join(5, uses_initial_table=False)}: from another coordinator, or from an earlier run"
     )
     harness.streams.bind(5, 0, (0, 1), is_subset=True)
     harness.flush()
@@ -125,7 +125,7 @@
     assert harness.streams.leave(0, harness.streams.joined[0].connection) and not harness.streams.joined
 
 
-def test_ack_numbers_of_an_earlier_life_or_never_sent_are_ignored():
+def test_ack_numbers_of_an_earlier_run_or_never_sent_are_ignored():
     earlier, planner, harness = Planner(BOOTSTRAP, "first"), Planner(BOOTSTRAP, "second"), StreamsHarness(3)
     for one in (earlier, planner):
         writer = StreamsHarness(3).streams if one is earlier else harness.streams
@@ -218,7 +218,7 @@
                 assert proxies[p].tables[name] == {
                     f"s-{b}": float(f"{w:.6g}") for b, w in harness.streams.tables.get(table, {}).items()
                 }
-                assert proxies[p].levels[name] == harness.streams.levels[None, route]
+                assert proxies[p].levels[name] == harness.streams.admissions[None, route]
             if len(stream.table_by_route) == 2:
                 named = {*proxies[p].tables["read"], *proxies[p].tables["find"]}
                 assert proxies[p].withdrawn & named == {f"s-{b}" for b in harness.streams.withdrawn} & named
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -55,7 +55,7 @@
         self.events.append(("backends_listed", scope, entries))
 
     def join(self, p, draw=0):
-        """Joins a proxy with the six backends that it drew at its start, or with the tables that it was sent before."""
+        """Joins a proxy with six backends of its own choice, or with the tables that it was sent before."""
         uses_initial_table = p not in self.proxies
         if uses_initial_table:
             proxy, running = SimulatedProxy(), [b for b, state in self.state.items() if state == "running"]
@@ -167,7 +167,7 @@
         fleet.join(p, 7 * p)
     fleet.run_for(4)
     fleet.list_backends({b: "draining" for b in range(24)})
-    for p in range(40, 200):  # with tables that other coordinators ordered
+    for p in range(40, 200):  # with tables from other coordinators
         fleet.proxies[p] = SimulatedProxy()
         for table in fleet.proxies[p].tables.values():
             table.update({f"s-{(p + 5 * i) % 80}": 1.0 for i in range(16)})
@@ -282,7 +282,7 @@
     """Each coordinator has few proxies and full tables.
 
     Half of 200 backends are replaced in four steps, with a grace of 3 s and a backlog of one second. Meanwhile more
-    than twice the coordinator's own proxies join, with full tables that others ordered.
+    than twice the coordinator's own proxies join, with full tables from others.
     """
     fleet = FleetSimulation(
         200, proxies=1600, coordinators=coordinators, channel_lines_per_second=4500.0, backlog=4500, grace=3 * SECOND
@@ -317,7 +317,7 @@
 
 @pytest.mark.parametrize("seed", range(4, 7))
 def test_no_message_costs_more_than_was_counted_in_any_sequence_of_lists(seed):
-    """Random lists, proxies with and without ordered tables, rounds of 2 ms to a cycle apart, and a full channel.
+    """Random lists, proxies with and without a coordinator's tables, rounds of 2 ms to a cycle apart, a full channel.
 
     A reinstatement that goes to a proxy later than its withdrawal is charged when it is sent.
     """
