--- a/cranecleat/decoding.py
+++ b/cranecleat/decoding.py
@@ -15,6 +15,7 @@
 
 
 def to_microseconds(seconds):
+    """Whole microseconds, rounded."""
     return round(seconds * US_PER_SECOND)
 
 
@@ -35,18 +36,18 @@
 def decode_bootstrap(info):
     """Decodes the settings of a start message. The error for a missing setting names it."""
     try:
-        special, rules = info["specifics"], info["rules"]
+        specifics, rules = info["specifics"], info["rules"]
         zones, kinds = info["localities"], info.get("skus", [])
-        own_zone = special.get("zoneBound", [])
+        own_zone = specifics.get("zoneBound", [])
         routes = tuple(
             Route(
-                importance=float(c["credit"]),
-                slo=to_microseconds(c["goalTime"]),
+                importance=float(request_class["credit"]),
+                slo=to_microseconds(request_class["goalTime"]),
                 own_zone=bool(own_zone[i]) if i < len(own_zone) else False,
-                kinds=to_indices(c.get("onlyKinds"), kinds),
-                zones=to_indices(c.get("onlyZones"), zones),
+                kinds=to_indices(request_class.get("onlyKinds"), kinds),
+                zones=to_indices(request_class.get("onlyZones"), zones),
             )
-            for i, c in enumerate(info["requestClasses"])
+            for i, request_class in enumerate(info["requestClasses"])
         )
         return Bootstrap(
             routes=routes,
@@ -54,18 +55,18 @@
             coordinators=int(info.get("groupSize", 1)),
             must_watch=info["membershipMode"] == "ask",
             watch_timeout=to_microseconds(rules.get("askWithin", 10)),
-            admission=lookup(ADMISSIONS, special["admission"], "admission"),
-            cycle=to_microseconds(special["cycle"]),
-            backlog=int(special["backlog"]),
-            channel_lines_per_second=float(special["egressPerS"]),
-            message_overhead=float(special["perMessage"]),
-            message_limit=int(special.get("messagesMost", 0)),
-            message_limit_window=to_microseconds(special.get("countedOver", 10)),
+            admission=lookup(ADMISSIONS, specifics["admission"], "admission"),
+            cycle=to_microseconds(specifics["cycle"]),
+            backlog=int(specifics["backlog"]),
+            channel_lines_per_second=float(specifics["egressPerS"]),
+            message_overhead=float(specifics["perMessage"]),
+            message_limit=int(specifics.get("messagesMost", 0)),
+            message_limit_window=to_microseconds(specifics.get("countedOver", 10)),
             grace=to_microseconds(rules["stopSendingWithin"]),
             warm_up_time=to_microseconds(rules["cold"]),
             cold_start_capacity=float(rules["coldFrom"]),
-            proxies=int(special.get("proxyCount") or 0),
-            report_lines_per_second=float(special.get("intakePerS") or 0),
+            proxies=int(specifics.get("proxyCount") or 0),
+            report_lines_per_second=float(specifics.get("intakePerS") or 0),
             cold_overload_multiple=float(rules.get("tipMultiple", 3.0)),
         )
     except KeyError as missing:
--- a/cranecleat/wirehost/codec.py
+++ b/cranecleat/wirehost/codec.py
@@ -1,9 +1,12 @@
-"""The simulator's messages: decodes its events into events of the planner, and encodes decisions as actions."""
+"""The simulator's messages: decodes its events into events of the planner, and encodes decisions as actions.
+
+The events of the planner and their values are described at the methods of that name in `Planner`.
+"""
 
 from cranecleat.decoding import US_PER_SECOND, lookup, to_microseconds
 
 ALL_TABLES = 65535  # the table number that stands for all tables of all joined proxies
-# Words of the wire -> words of the planner.
+# Words of the wire -> words of the planner; for the scopes see `Planner.backends_listed`.
 SCOPES = {"patch": "changes", "whole": "whole", "stale_copy": "held", "broken": "failed"}
 STATES = {"Running": "running", "Stopping": "draining", "Deleted": "gone"}
 
@@ -11,7 +14,9 @@
 def decode(event, names):
     """An event as one of the planner (its name and values).
 
-    Returns None for an unknown kind of event, and for a report about a backend that is not listed.
+    Returns None for an unknown kind of event, and for a report of attempts ("tally") at a backend without an index.
+    The planner does nothing at "timer_fired", as it runs a round for any event, nor at the "slice_" events,
+    "probe_answered" and "peer_message_received".
     """
     kind = event["kind"]
     if kind == "tally":
@@ -90,17 +95,24 @@
 
 
 class ActionWriter:
-    """The planner's `Writer` for one instance: appends each decision to the actions of a reply."""
+    """The planner's `Writer` for one coordinator: appends each decision to the actions of a reply.
+
+    The methods that `Writer` does not have (`clear`, `fetch`, `probe`, `send_to_peer` and `fault`) write further
+    actions of the simulator; the planner calls none of them.
+    """
 
-    def __init__(self, instance, names, actions):
-        self.instance, self.names, self.actions = instance, names, actions
+    def __init__(self, coordinator_name, names, actions):
+        self.coordinator_name = coordinator_name
+        self.names = names  # backend ids and their indices
+        self.actions = actions  # of the present reply
 
     def append(self, kind, **fields):
-        self.actions.append({"kind": kind, "coordinator": self.instance, **fields})
+        """Appends an action of this coordinator."""
+        self.actions.append({"kind": kind, "coordinator": self.coordinator_name, **fields})
 
     @staticmethod
     def route_bits(routes):
-        """Routes as a bit mask."""
+        """Routes as a bit mask: bit r stands for route r."""
         return sum(1 << r for r in routes)
 
     def set_weight(self, table, backend, weight):
@@ -142,11 +154,12 @@
     def send_to_peer(self, peer, text):
         self.append("memoTo", to=peer, content=text)
 
-    def set_timer(self, at, timer):
-        self.append("sleep", time=at / US_PER_SECOND, mark=timer)
+    def set_timer(self, at, number):
+        self.append("sleep", time=at / US_PER_SECOND, mark=number)
 
     def log(self, text):
         self.append("trace", reasonText=text)
 
     def fault(self, text):
+        """Reports to the simulator that the coordinator's events could not be handled."""
         self.append("fault", reasonText=text)
--- a/cranecleat/wirehost/host.py
+++ b/cranecleat/wirehost/host.py
@@ -1,4 +1,4 @@
-"""Reads batches, runs one round of each instance that a batch names, and writes the replies."""
+"""Reads batches, runs one round of each coordinator that a batch names, and writes the replies."""
 
 import json
 from math import isfinite
@@ -8,17 +8,20 @@
 from cranecleat.wirehost.codec import ActionWriter, decode
 
 
-class Instance:
-    """One planner with its backend ids and its writer. An invalid start message raises an error instead."""
+class Coordinator:
+    """A coordinator of the simulated deployment: one planner with its backend ids and its writer.
 
-    def __init__(self, spawn, instance):
+    `spawn` is its start event; an invalid one raises an error.
+    """
+
+    def __init__(self, spawn, name):
         self.names = IndexMap()
-        self.writer = ActionWriter(instance, self.names, [])
+        self.writer = ActionWriter(name, self.names, [])
         self.planner = Planner(decode_bootstrap(spawn.get("info") or {}), int(spawn.get("salt", 0)))
 
 
-def group_by_instance(inbox):
-    """The events of a batch by instance, in the order in which the instances appear."""
+def group_by_coordinator(inbox):
+    """The events of a batch by coordinator, in the order in which the coordinators appear."""
     groups = {}
     for event in inbox:
         if not isinstance(event, dict) or not isinstance(event.get("kind"), str):
@@ -29,37 +32,40 @@
     return groups
 
 
-def run_round(instances, name, events, now, actions):
-    """Passes the events of one instance to its planner; a failure becomes a fault of that instance alone."""
+def run_round(coordinators, name, events, now, actions):
+    """Passes the events of one coordinator to its planner; a failure becomes a fault of that coordinator alone.
+
+    A failure ends the coordinator's part of this batch. It stays and gets the next batch, unless its start has failed.
+    """
     faults = ActionWriter(name, None, actions)
     try:
         decoded_events = []
         for event in events:
             if event["kind"] == "spawn":
-                instances.pop(name, None)
+                coordinators.pop(name, None)
                 decoded_events.clear()
-                instances[name] = Instance(event, name)
+                coordinators[name] = Coordinator(event, name)
             elif event["kind"] == "killed":
-                instances.pop(name, None)
+                coordinators.pop(name, None)
                 decoded_events.clear()
-            elif name in instances:
-                decoded = decode(event, instances[name].names)
+            elif name in coordinators:
+                decoded = decode(event, coordinators[name].names)
                 if decoded:
                     decoded_events.append(decoded)
-        if name in instances:
-            instance = instances[name]
-            instance.writer.actions = actions
-            instance.planner.round(now, decoded_events, instance.writer)
+        if name in coordinators:
+            coordinator = coordinators[name]
+            coordinator.writer.actions = actions
+            coordinator.planner.round(now, decoded_events, coordinator.writer)
     except MalformedError as wrong:
         faults.fault(str(wrong))
     except KeyError as missing:
         faults.fault(f"missing key {missing.args[0]!r}")
-    except Exception as failure:  # the instance has failed, and the simulator gets the reason
+    except Exception as failure:  # an error in this round; the simulator gets the reason
         faults.fault(f"{type(failure).__name__}: {failure}")
 
 
 def read_batch(line):
-    """Decodes one line as the time and the events of each instance."""
+    """Decodes one line as the time and the events of each coordinator."""
     try:
         batch = json.loads(line)
     except (ValueError, RecursionError) as wrong:
@@ -71,12 +77,12 @@
         raise MalformedError("'wall' must be a number")
     if not isinstance(inbox, list):
         raise MalformedError("'inbox' must be an array")
-    return to_microseconds(clock), group_by_instance(inbox)
+    return to_microseconds(clock), group_by_coordinator(inbox)
 
 
 def serve(source, sink, errors):
     """Replies to one batch after another until the input ends; returns the exit code."""
-    instances = {}
+    coordinators = {}  # name -> Coordinator
     for number, line in enumerate(source, 1):
         try:
             now, groups = read_batch(line)
@@ -85,7 +91,7 @@
             return 2
         actions = []
         for name, events in groups.items():
-            run_round(instances, name, events, now, actions)
+            run_round(coordinators, name, events, now, actions)
         sink.write(json.dumps({"out": actions}, separators=(",", ":")).encode() + b"\n")
         sink.flush()
     return 0
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -30,7 +30,7 @@
     return [event("spawn", to, salt=1, info=info), event("rosterChange", to, scope="stale_copy", records=[ENTRY])]
 
 
-def test_an_instance_starts_and_ends_and_ignores_unknown_events():
+def test_a_coordinator_starts_and_ends_and_ignores_unknown_events():
     assert_matches_trace(
         "wire_life",
         serve_lines(
@@ -52,7 +52,7 @@
     )
 
 
-def test_instances_share_nothing_and_a_fault_concerns_one_instance_only():
+def test_coordinators_share_nothing_and_a_fault_concerns_one_of_them_only():
     incomplete = {**SETTINGS, "specifics": {"admission": "fraction", "cycle": 1.0}}
     assert_matches_trace(
         "wire_faults",
