--- a/cranecleat/gossip/agent.py
+++ b/cranecleat/gossip/agent.py
@@ -69,7 +69,7 @@
         return zlib.crc32(f"{self.seed}:{self.draws}".encode()) % limit
 
     def update_roster(self, roster, signer, now):
-        """Replaces the roster and the signing key in service."""
+        """Replaces the roster and the signing key while the agent runs, and makes a statement with the new key."""
         self.roster = roster
         self.signer = signer
         self.verifier.update_roster(roster)
@@ -80,21 +80,18 @@
     # Claims of this member
 
     def observe(self, now, missing_answers):
-        """Takes the number of missing answers by backend key, always for all backends. A backend that is no longer in
-        it has answered or is gone; the next statement withdraws the claim about it.
+        """Takes the number of missing answers of all backends, by backend key. A backend that is no longer among them
+        has answered or is gone; the next statement withdraws the claim about it.
 
-        Publishes a statement at once if a claim has grown or has ended, but not sooner than the shortest interval
-        allows, and otherwise repeats the claims after the refresh time."""
+        A claim that has grown or ended leads to a new statement as soon as the shortest interval has passed since the
+        last one. Other claims are stated again after the refresh time."""
         self.missing_answers = missing_answers
         may_state = now - self.stated_at >= MIN_STATEMENT_INTERVAL_US
         has_grown = any(
             missing > RESTATE_FACTOR * self.stated.get(key, 0.0) for key, missing in missing_answers.items()
         )
-        if (
-            may_state
-            and (has_grown or self.stated.keys() - missing_answers.keys())
-            or missing_answers
-            and now - self.stated_at >= STATEMENT_REFRESH_US
+        if (may_state and (has_grown or self.stated.keys() - missing_answers.keys())) or (
+            missing_answers and now - self.stated_at >= STATEMENT_REFRESH_US
         ):
             self.publish_statement(now)
 
@@ -103,8 +100,7 @@
         largest = sorted(self.missing_answers.items(), key=lambda claim: (-claim[1], claim[0]))[: wire.MAX_ENTRIES]
         entries = [(key, min(round(missing * wire.PARTS_PER_ANSWER), 255), 0) for key, missing in largest]
         previous = self.claims.latest.get(self.roster.me)
-        # The version is the time since the start. It rises with each statement of a life, also within a tenth of a
-        # second.
+        # The version is the time since the start in tenths of a second, but always more than in the previous statement.
         version = (now - self.started_at) // TENTH_OF_SECOND_US
         if previous and previous.statement.life == self.life:
             version = max(version, previous.statement.version + 1)
--- a/cranecleat/gossip/members.py
+++ b/cranecleat/gossip/members.py
@@ -10,7 +10,7 @@
 from math import log, log2, log10
 
 SECOND = 1_000_000  # microseconds
-PROBE_PERIOD_US = SECOND  # from one probe to the next
+PROBE_PERIOD_US = SECOND  # from one probe to the next, while this member is healthy
 DIRECT_ANSWER_US = 3 * PROBE_PERIOD_US // 10  # time for a direct answer, before helpers are asked
 HELPER_COUNT = 3  # members that are asked to probe a target that has not answered directly
 MAX_HEALTH_SCORE = 8  # timeouts are multiplied by 1 plus the score
@@ -117,7 +117,7 @@
         """Takes note of a verified datagram that a member itself has just sent: it is alive, whatever others say of it.
         Returns whether it has come back."""
         record = self.records.get(number)
-        if record is None or life < record.life or record.state == "left" and life == record.life:
+        if record is None or life < record.life or (record.state == "left" and life == record.life):
             return False
         if life > record.life:
             record.life = life
@@ -144,7 +144,7 @@
         """Handles an answer to the probe in progress: from its target (`helper` is None), from a helper that the target
         has answered, or from a helper that the target has not answered yet (`is_alive` is false)."""
         probe = self.probe
-        if probe is None or probe.nonce != nonce or helper is not None and helper not in probe.helpers:
+        if probe is None or probe.nonce != nonce or (helper is not None and helper not in probe.helpers):
             return
         probe.any_answer = True
         if is_alive and helper is None:
--- a/cranecleat/gossip/seal.py
+++ b/cranecleat/gossip/seal.py
@@ -87,7 +87,7 @@
         if life != self.life:
             return life > self.life
         behind = self.highest - counter
-        return behind < 0 or behind < REPLAY_WINDOW_COUNTERS and not self.used >> behind & 1
+        return behind < 0 or (behind < REPLAY_WINDOW_COUNTERS and not (self.used >> behind) & 1)
 
     def mark_used(self, life, counter):
         """Records a counter; a later life begins an empty window."""
--- a/cranecleat/gossip/shell.py
+++ b/cranecleat/gossip/shell.py
@@ -60,8 +60,9 @@
         )
         self.bridge = Bridge(coordinator.planner, coordinator.names)
         self.next_status_at = self.next_report_at = coordinator.clock.now()
-        self.has_reported_claims = self.armed = False  # whether the last report to the planner held claims
-        self.status_error = None  # why the last status file could not be written; each reason is logged once
+        # `has_reported_claims`: whether the last report to the planner held claims. Nothing reads `armed`.
+        self.has_reported_claims = self.armed = False
+        self.status_error = None  # why the last write of the status file failed; the same reason is not logged again
 
     async def open(self):
         """Opens the socket and starts the timer; raises `MalformedError` if the address cannot be used."""
@@ -117,7 +118,7 @@
         once in each interval."""
         pooled = self.agent.pooled(now)
         is_report_due = now >= self.next_report_at or not self.has_reported_claims
-        if pooled and is_report_due or self.has_reported_claims and not pooled:
+        if (pooled and is_report_due) or (self.has_reported_claims and not pooled):
             self.next_report_at = now + REPORT_INTERVAL_US
             self.has_reported_claims = bool(pooled)
             for event in self.bridge.events(pooled):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -54,9 +54,10 @@
     sender = agent("n1")
     sender.observe(SECOND, claims_of_40)
     suspects = [(member_number("n2"), EPOCH, i) for i in range(30)]
-    data = sender.send(SECOND, sender.rumour_bucket, member_number("n0"), wire.Kind.RUMOUR, first_suspicions=suspects)[
-        0
-    ][1]
+    datagrams = sender.send(
+        SECOND, sender.rumour_bucket, member_number("n0"), wire.Kind.RUMOUR, first_suspicions=suspects
+    )
+    data = datagrams[0][1]
     header = wire.read_header(data)
     suspicions, statement = wire.read_body(data, header)
     assert len(data) <= wire.MAX_DATAGRAM_BYTES and len(statement.entries) == wire.MAX_ENTRIES and len(suspicions) == 1
