--- a/cranecleat/commands/files.py
+++ b/cranecleat/commands/files.py
@@ -45,8 +45,8 @@
     proxy: int = typer.Option(None, help="Show this proxy's routes only."),
     as_json: bool = typer.Option(False, "--json", help="Print one JSON object."),
 ):
-    """Prints the folder's writer, the tables, and for each proxy its generation and whether it has reported that in
-    force."""
+    """Prints the folder's writer, the tables, and for each proxy the generation of its orders and whether the proxy has
+    reported that they are in force."""
     from cranecleat.files.disk import BODIES, OWNER, REPORTS, read_owner
     from cranecleat.files.format import UnusableFileError, read_body, read_report
 
--- a/cranecleat/files/disk.py
+++ b/cranecleat/files/disk.py
@@ -17,7 +17,9 @@
 TABLES, OWNER, LOCK = "tables", "owner", "lock"
 BODIES, ORDERS, REPORTS = "bodies", "orders", "back"
 TEMPORARY_SUFFIX = ".new"
-SYNC_MODES = ("none", "data", "all")  # sync nothing; each file before it gets its name; the folder after that as well
+# "none": nothing is synced. "data": each file is synced before it gets its name. "all": the folder is synced after that
+# as well.
+SYNC_MODES = ("none", "data", "all")
 READ_CHUNK_BYTES = 1 << 16
 
 
@@ -37,7 +39,7 @@
 
 
 class Disk:
-    """One folder of the transport."""
+    """One folder of the transport. `sync` is one of `SYNC_MODES`."""
 
     def __init__(self, root, sync="data", system_calls=SystemCalls):
         self.root, self.sync, self.system_calls = os.fspath(root), sync, system_calls
@@ -76,8 +78,8 @@
             system_calls.close(file)
 
     def list_files(self, folder):
-        """(name, version) of each file but temporary ones. The version (inode, modification time, size) tells a file
-        that was replaced from the one before."""
+        """(name, version) of each file but temporary ones. The version is (inode, modification time, size); it changes
+        when the file is replaced."""
         try:
             with self.system_calls.scandir(self.path(folder)) as entries:
                 found = []
@@ -130,6 +132,7 @@
             self.system_calls.unlink(self.path(*parts))
 
     def remove_quietly(self, path):
+        """Removes a temporary file if that is possible; errors are ignored."""
         with contextlib.suppress(OSError):
             self.system_calls.unlink(path)
 
@@ -158,9 +161,9 @@
 
 
 class FolderLock:
-    """The writer's exclusive right to a folder: a file lock held while the process lives, and a fencing token that each
-    writer raises. The lock keeps two processes on one machine apart. The fence covers folders that several machines
-    share, where locks may not reach."""
+    """The writer's exclusive right to a folder: a file lock held while the process lives, and a fencing token (the
+    fence) that each new writer raises. The lock excludes a second process on the same machine. The fence protects
+    folders that several machines share, where the lock may have no effect."""
 
     def __init__(self, disk, writer, unix_time):
         self.disk, self.file = disk, None
--- a/cranecleat/files/follow.py
+++ b/cranecleat/files/follow.py
@@ -13,7 +13,7 @@
 from cranecleat.files.format import UnusableFileError, read_body, read_orders, read_tables, write_report
 from cranecleat.files.view import View
 
-READ_TRIES = 4  # attempts to read tables with all their bodies: one may be removed while the tables are replaced
+READ_TRIES = 4  # attempts in one poll: newer tables may replace those just read, and their bodies may be removed
 
 
 class Follower:
@@ -21,7 +21,9 @@
 
     state_file: a file of the reader's own that stores the last retry order taken on. It is written before the order is
     acted on and has to survive whatever the calls survive, as otherwise a call may be retried twice.
-    error: why the last poll put nothing in force, or None.
+    version: versions of the files of orders and of tables that were last put in force.
+    bodies: name -> body, of the tables in force.
+    error: why the last attempt to read the files failed, or None.
     """
 
     def __init__(self, folder, proxy, state_file=None, system_calls=SystemCalls):
@@ -45,8 +47,8 @@
             state_disk.replace(f"{retry.number} {self.view.fence}\n".encode(), os.path.basename(self.state_file))
 
     def poll(self):
-        """Puts changed files in force. Returns the retry orders to act on now, each once only; `error` says why nothing
-        was put in force."""
+        """Reads the files if they have changed, and puts them in force. Returns the retry orders to act on now, each
+        once only. If the files cannot be used, `error` says why."""
         try:
             version = [self.stat(ORDERS, str(self.proxy)), self.stat(TABLES)]
         except OSError as failure:
@@ -88,7 +90,8 @@
         return None
 
     def body(self, name, found):
-        """The body of that name. It is read once only, as a body never changes."""
+        """The body of that name, also added to `found`. One that the tables in force refer to is not read again, as a
+        body never changes."""
         if name not in found:
             if name in self.bodies:
                 found[name] = self.bodies[name]
--- a/cranecleat/files/format.py
+++ b/cranecleat/files/format.py
@@ -14,7 +14,7 @@
 
 FORMAT_VERSION = 1
 MAX_FILE_BYTES = 1 << 20  # the same limit as for a message on a stream
-DIGEST_BYTES = 16  # of a body, whose name it is; a checksum has half of that
+DIGEST_BYTES = 16  # length of the digest that names a body; the checksum of a file has half of that
 PROOFS = ("refused", "unsent")  # why a call certainly never ran: the connection was refused; nothing was sent
 NAME = re.compile(r"[A-Za-z0-9._~%-]{1,400}")
 WHOLE_NUMBER = re.compile(r"\d{1,18}")
@@ -54,7 +54,7 @@
 
     header: Header
     bodies: dict  # table -> name of its body
-    levels: dict  # (table or None for all, route) -> (level, tries)
+    levels: dict  # (table, or None for all tables; route) -> (admission level, tries)
     withdrawn: frozenset
 
 
@@ -99,6 +99,7 @@
 
 
 def quote_name(text):
+    """The name as one word; the empty name is written as "%"."""
     return quote(text, safe="~") or "%"
 
 
--- a/cranecleat/files/front.py
+++ b/cranecleat/files/front.py
@@ -1,8 +1,8 @@
 """The coordinator's side of the files transport: polls the reports, publishes the planner's decisions and logs what
 fails. It decides nothing itself.
 
-Proxies that are served through files join the planner like those on streams. `CombinedWriter` is the planner's writer
-then.
+Proxies that are served through files join the planner like those on streams. With this transport switched on, the
+planner's writer is a `CombinedWriter`.
 """
 
 import time
@@ -17,14 +17,17 @@
 from cranecleat.protocol.limits import LOG_SUMMARY_INTERVAL_US
 from cranecleat.protocol.reasons import Reason
 
-PUBLISH_RETRY_US = 500_000  # until a publication that failed is tried again
+PUBLISH_RETRY_US = 500_000  # time after a failed publication until it is tried again
 SLOW_PUBLICATION_US = 50_000  # a publication that takes longer is logged, as the disk then delays rounds
 MAX_LOGGED_LAGS = 16  # proxies in one log line of lags, those furthest behind first
-LAGGING_GRACE_DIVISOR = 2  # a proxy that is behind for longer than the grace of drains divided by this is lagging
+LAGGING_GRACE_DIVISOR = 2  # a proxy counts as lagging once its lag exceeds the grace of drains divided by this
 
 
 class CombinedWriter:
-    """The planner's writer where some proxies are served on streams and some through files."""
+    """The planner's writer where some proxies are served on streams and some through files.
+
+    Bindings go to the transport that serves the proxy. All other decisions go to both transports.
+    """
 
     def __init__(self, streams, ledger):
         self.streams, self.ledger = streams, ledger
@@ -57,8 +60,12 @@
     """Serves proxies through one folder.
 
     settings: the operator's `files` section.
-    versions: report file -> the version last read.
-    waiting_streams: proxy -> what its stream joined with, while files still serve the proxy.
+    report_versions: name of a report file -> the version last read, see `Disk.list_files`.
+    waiting_streams: proxy -> (connection, zone, typical rate, uses_initial_table) of a stream that is open while files
+    still serve the proxy.
+    retry_at: nothing is published before this time, since the last publication failed.
+    closed: whether the transport has ended, at shutdown or because another writer has taken the folder over.
+    lagging: proxies that were lagging at the last poll.
     """
 
     def __init__(self, coordinator, settings, system_calls=None):
@@ -87,7 +94,7 @@
             configuration.bootstrap.cycle,
         )
         self.selector = TransportSelector(settings.lose, settings.hold)
-        self.versions, self.waiting_streams = {}, {}
+        self.report_versions, self.waiting_streams = {}, {}
         self.retry_at, self.closed = 0, False
         self.lagging, self.next_lag_log_at = set(), 0
         coordinator.log.info(
@@ -107,7 +114,7 @@
     # Reports
 
     def poll(self):
-        """Reads new reports, switches transports, publishes, and calls itself again after the poll interval."""
+        """Reads new reports, switches transports, publishes, logs lags, and schedules the next poll."""
         if self.closed:
             return
         now = self.coordinator.clock.now()
@@ -116,27 +123,33 @@
         except OSError as failure:
             self.coordinator.log_aggregated("files_unread", says=failure.strerror)
             found = []
-        most = self.coordinator.configuration.proxies + len(self.coordinator.configuration.zones)
-        if len(found) > most:
-            self.coordinator.log_aggregated("files_too_many", says=f"{len(found)} reports exceed the limit of {most}")
+        max_reports = self.coordinator.configuration.proxies + len(self.coordinator.configuration.zones)
+        if len(found) > max_reports:
+            self.coordinator.log_aggregated(
+                "files_too_many", says=f"{len(found)} reports exceed the limit of {max_reports}"
+            )
         versions = {}
-        for name, version in sorted(found)[: 2 * most]:
+        for name, version in sorted(found)[: 2 * max_reports]:  # bounds the work where the folder has too many files
             versions[name] = version
-            if self.versions.get(name) != version:
-                self.take(now, name)
-        self.versions = versions
-        events, ended = self.intake.silent(now)
+            if self.report_versions.get(name) != version:
+                self.process_report_file(now, name)
+        self.report_versions = versions
+        events, ended = self.intake.remove_silent_writers(now)
         for who in ended:
-            self.versions.pop(who, None)
+            self.report_versions.pop(who, None)
             self.coordinator.log.info("files_silent", who=who)
         self.record_departures(now, events)
-        self.switch(now)
+        self.switch_transports(now)
         self.publish()
         self.log_lags(now)
         self.coordinator.clock.call_at(now + self.settings.poll, self.poll)
 
-    def take(self, now, name):
-        """Reads one report and passes its events to the planner."""
+    def process_report_file(self, now, name):
+        """Reads one report file and passes its events to the planner.
+
+        Departures and joins go to the selector, which decides when the planner hears of them. Attempts are always
+        passed on; demand and acknowledgements only while files serve the proxy.
+        """
         try:
             data = self.disk.read(REPORTS, name)
             if data is None:
@@ -144,7 +157,7 @@
             report = read_report(data)
             if report.who != name:
                 raise UnusableFileError(f"a report of {report.who[:40]!r}")
-            events = self.intake.take(now, report)
+            events = self.intake.process_report(now, report)
         except UnusableFileError as error:
             self.coordinator.log_aggregated("files_spoilt", detail=f"{name[:40]}: {error}")
             return
@@ -155,11 +168,9 @@
         self.record_departures(now, events)
         for event in events:
             if event[0] == "proxy_joined":
-                self.selector.files(now, proxy, True)
-            elif (
-                event[0] == "attempts_reported"
-                or event[0] == "demand_reported"
-                and self.selector.transport_of(proxy) == FILES
+                self.selector.record_files(now, proxy, True)
+            elif event[0] == "attempts_reported" or (
+                event[0] == "demand_reported" and self.selector.transport_of(proxy) == FILES
             ):
                 self.coordinator.queue_event(event)
         if proxy is not None and self.selector.transport_of(proxy) == FILES:
@@ -167,18 +178,20 @@
                 self.coordinator.queue_event(("acknowledged", proxy, ack_number))
 
     def record_departures(self, now, events):
+        """Tells the selector which proxies no longer renew their reports."""
         for event in events:
             if event[0] == "proxy_left":
-                self.selector.files(now, event[1], False)
+                self.selector.record_files(now, event[1], False)
 
     # Which transport serves a proxy
 
     def stream_opened(self, connection, zone, typical_rate, uses_initial_table):
-        """Whether the proxy's stream serves it at once. If not, it waits until it has stayed open for long enough."""
+        """Records that a proxy's stream has opened. Returns whether the stream serves the proxy at once; if not, the
+        stream waits until it has stayed open for long enough."""
         now, proxy = self.coordinator.clock.now(), connection.proxy
         if self.closed:
             return True
-        self.selector.stream(now, proxy, True)
+        self.selector.record_stream(now, proxy, True)
         if self.selector.transport_of(proxy) != FILES:
             self.selector.decide(now)
             return True
@@ -190,15 +203,16 @@
         return False
 
     def stream_closed(self, connection, served):
-        """A stream has ended: one that served its proxy, one that was waiting, or one that was replaced."""
+        """Records that a proxy's stream has ended. `served` says whether it served the proxy; one that did not was
+        waiting, or had been replaced by a newer one."""
         proxy = connection.proxy
         was_waiting = proxy in self.waiting_streams and self.waiting_streams[proxy][0] is connection
         if was_waiting:
             del self.waiting_streams[proxy]
         if served or was_waiting:
-            self.selector.stream(self.coordinator.clock.now(), proxy, False)
+            self.selector.record_stream(self.coordinator.clock.now(), proxy, False)
 
-    def switch(self, now):
+    def switch_transports(self, now):
         """Carries out the changes of transport that are due."""
         for proxy, transport in self.selector.decide(now):
             if proxy in self.ledger.proxies:
@@ -225,7 +239,7 @@
     # Publication
 
     def publish(self):
-        """Writes what has changed. After a failure the whole publication is tried again later."""
+        """Writes what has changed. After a failure, everything is written again at a later call."""
         now = self.coordinator.clock.now()
         if self.closed or now < self.retry_at or not self.ledger.has_changes():
             return
@@ -238,7 +252,7 @@
                 apply_step(self.disk, step)
         except FencedError as fenced:
             self.coordinator.log.error("files_fenced", says=str(fenced))
-            self.give_up()
+            self.abandon_folder()
             return
         except OSError as failure:
             self.ledger.publication_failed()
@@ -248,7 +262,7 @@
         if elapsed > SLOW_PUBLICATION_US:
             self.coordinator.log_aggregated("files_slow", detail=f"{elapsed} us")
 
-    def give_up(self):
+    def abandon_folder(self):
         """Another writer has taken the folder over: the proxies served through it leave the planner, and streams that
         were waiting serve at once."""
         self.closed = True
@@ -259,8 +273,8 @@
             self.coordinator.join_stream(*self.waiting_streams.pop(proxy))
 
     def log_lags(self, now):
-        """Logs once that a reader is lagging and once that it has caught up, and the lags as figures at the interval of
-        log summaries."""
+        """Logs when a proxy begins to lag and when it has caught up. Also logs the longest lags, at most once in each
+        interval of log summaries."""
         lags = {p: lag for p, lag in self.ledger.lags(now).items() if lag}
         if lags and now >= self.next_lag_log_at:
             self.next_lag_log_at = now + LOG_SUMMARY_INTERVAL_US
@@ -268,16 +282,16 @@
             self.coordinator.log.info(
                 "files_lag", behind=len(lags), seconds=",".join(f"{p}:{lags[p] / 1e6:.2f}" for p in longest)
             )
-        late = {
+        lagging_now = {
             p
             for p, lag in self.ledger.lags(now).items()
             if lag > self.coordinator.configuration.bootstrap.grace // LAGGING_GRACE_DIVISOR
         }
-        for proxy in sorted(late - self.lagging):
+        for proxy in sorted(lagging_now - self.lagging):
             self.coordinator.log.warning("files_lagging", proxy=proxy)
-        for proxy in sorted(self.lagging - late):
+        for proxy in sorted(self.lagging - lagging_now):
             self.coordinator.log.info("files_caught_up", proxy=proxy)
-        self.lagging = late
+        self.lagging = lagging_now
 
     def close(self):
         self.closed = True
--- a/cranecleat/files/intake.py
+++ b/cranecleat/files/intake.py
@@ -7,18 +7,20 @@
 
 from cranecleat.files.format import UnusableFileError
 
-MISSED_BEATS = 4  # a writer has left after so many beat intervals without a new report
-MIN_SILENCE_US = 300_000  # but after no less time than this
-MAX_SILENCE_US = 10_000_000  # and no more than this
-MAX_COVERED_CYCLES = 120  # that the sums of one report may cover
-SURGE = 1e7  # calls or tries in one report: far beyond what MAX_COVERED_CYCLES can hold
+MISSED_BEATS = 4  # beat intervals without a new report after which a writer counts as having left
+MIN_SILENCE_US = 300_000  # lower limit of that time, however short the beat interval is
+MAX_SILENCE_US = 10_000_000  # upper limit of that time, however long the beat interval is
+MAX_COVERED_CYCLES = 120  # longest period, in cycles, that the sums of one event are said to cover
+MAX_COUNT_PER_REPORT = 1e7  # new calls or tries in one report; MAX_COVERED_CYCLES can hold far fewer
 
 
 class ReportWriter:
     """A proxy or a collector that writes reports.
 
-    report, received_at: its last report, and when that was read.
-    base, counted_at: the report up to which its sums are counted, and when they were.
+    report: its last report.
+    received_at: when that was read.
+    base: the report whose sums the next events are counted from.
+    counted_at: when `base` was read.
     """
 
     def __init__(self, report, now):
@@ -27,8 +29,13 @@
 
 
 class Intake:
-    """`zones` and `routes`: name -> index. `backend_names`: maps backends' names to indices, see
-    `decoding.IndexMap`."""
+    """Turns reports into events for the planner.
+
+    zones, routes: name -> index.
+    proxies: number of proxies in the configuration.
+    backend_names: maps backends' names to indices, see `decoding.IndexMap`.
+    cycle: length of the planner's cycle in microseconds; the events of one writer cover at least so much time.
+    """
 
     def __init__(self, zones, routes, proxies, backend_names, cycle):
         self.zones, self.routes, self.proxies, self.backend_names = zones, routes, proxies, backend_names
@@ -45,8 +52,9 @@
             return None
         raise UnusableFileError(f"{who[:40]!r} is not a proxy or zone of the configuration")
 
-    def take(self, now, report):
-        """The planner's events for one report that was read. A report older than the last one yields none."""
+    def process_report(self, now, report):
+        """The planner's events for one report that was read. A report that is not newer than the last one of its
+        writer yields none."""
         proxy = self.proxy_of(report.who)
         if report.zone not in self.zones or not 1 <= report.every <= 60_000:
             raise UnusableFileError(f"unknown zone {report.zone[:40]!r} or invalid beat interval of {report.every} ms")
@@ -70,22 +78,23 @@
                     )
                 )
             return events
-        self.check(writer.report, report)
+        self.check_sums(writer.report, report)
         writer.report, writer.received_at = report, now
         covered = min(now - writer.counted_at, MAX_COVERED_CYCLES * self.cycle)
-        if covered >= self.cycle:  # beats come more often than the sums are worth an event
-            events = self.differences(proxy, writer.base, report, covered)
+        if covered >= self.cycle:  # reports may come more often; their sums go into the events of a later report
+            events = self.events_between(proxy, writer.base, report, covered)
             writer.base, writer.counted_at = report, now
         return events
 
-    def check(self, old, new):
-        """Raises `UnusableFileError` where the sums cannot follow from those of the last report."""
+    def check_sums(self, old, new):
+        """Raises `UnusableFileError` where the sums of `new` cannot have grown from those of `old`, the report before
+        it."""
         for route in new.calls:
             if route not in self.routes:
                 raise UnusableFileError(f"{route[:40]!r} is not a route")
         if any(new.calls.get(route, 0) < calls for route, calls in old.calls.items()):
             raise UnusableFileError("sums of calls that decrease within a life")
-        if any(calls - old.calls.get(route, 0) > SURGE for route, calls in new.calls.items()):
+        if any(calls - old.calls.get(route, 0) > MAX_COUNT_PER_REPORT for route, calls in new.calls.items()):
             raise UnusableFileError("too many calls in one report")
         for backend, (tries, unanswered, answer_time) in new.attempts.items():
             before = old.attempts.get(backend, (0, 0, 0))
@@ -96,11 +105,11 @@
                 or unanswered - before[1] > tries - before[0]
             ):
                 raise UnusableFileError(f"sums of {backend[:40]!r} that decrease or are inconsistent within a life")
-            if tries - before[0] > SURGE:
+            if tries - before[0] > MAX_COUNT_PER_REPORT:
                 raise UnusableFileError(f"{tries - before[0]} tries at {backend[:40]!r} in one report")
 
-    def differences(self, proxy, old, report, covered):
-        """Events for what has happened between two reports, over `covered` microseconds."""
+    def events_between(self, proxy, old, report, covered):
+        """Events for the differences between the sums of two reports, which cover `covered` microseconds."""
         events = []
         if proxy is not None:
             for route, index in self.routes.items():
@@ -125,7 +134,7 @@
                 )
         return events
 
-    def silent(self, now):
+    def remove_silent_writers(self, now):
         """Forgets writers whose reports have stopped. Returns the planner's events for them, and their names."""
         ended = [who for who, writer in self.writers.items() if now - writer.received_at > self.allowed_silence(writer)]
         events = []
--- a/cranecleat/files/ledger.py
+++ b/cranecleat/files/ledger.py
@@ -10,7 +10,7 @@
 
 from cranecleat.files.format import Body, Header, Orders, RetryOrder, Tables, write_body, write_orders, write_tables
 
-KEPT_PUBLICATIONS = 64  # whose bodies are kept for readers that lag; one further behind reads the tables anew
+KEPT_PUBLICATIONS = 64  # bodies of so many publications are kept for lagging readers; others read the tables again
 RETRY_NUMBERS_PER_LIFE = 1 << 24  # retry orders that one run of a writer can number
 MAX_RETRIES_PER_PROXY = 8  # retry orders that one proxy may hold at a time
 
@@ -18,11 +18,15 @@
 class ProxyState:
     """One proxy that is served through files.
 
-    bound, retries: route -> table, and its open retry orders.
+    bound: route -> table.
+    retries: its retry orders that it has not yet reported as taken on.
+    active: whether the proxy is to follow files; written into its orders.
     dirty: whether its orders have to be published again.
-    generation, needs: of its orders as published: their generation, and the oldest tables they may be applied with.
-    applied: generations of tables and orders that it has in force.
-    unapplied_since: when the oldest decision that it has not applied was published; None if it has applied all.
+    generation: of its orders as last published.
+    needs: oldest generation of the tables with which those orders may be applied.
+    applied: generations of tables and orders that it has reported as in force.
+    unapplied_since: since when it has had published decisions to apply; set anew each time it has applied some but not
+    all of them. None if it has applied all.
     """
 
     def __init__(self):
@@ -37,8 +41,11 @@
     """The planner's `Writer` for proxies that are served through files, without `watch`, `set_timer` and `log`, which
     the service provides.
 
-    names, routes: backends' names and indices; names of the routes.
+    names: maps backends' names to indices and back, see `decoding.IndexMap`.
+    routes: names of the routes.
     fence, life, generation: of the header last written, see `format.Header`.
+    pending_tables, pending_orders: the tables, and proxy -> orders, of the publication that `steps` has begun.
+    counters: publications completed, bytes written, and files replaced ("swaps").
     """
 
     def __init__(self, names, routes, fence, life, generation=0):
@@ -49,7 +56,7 @@
         self.tables = {}  # table -> {backend: weight}
         self.levels = {}  # (table or None for all, route) -> (level, tries)
         self.withdrawn = set()
-        self.published = None  # the tables as last published
+        self.published = None  # the `Tables` last published
         self.bodies = {}  # name of each body in the folder -> its size in bytes
         self.recent_bodies = []  # (generation of tables, names of their bodies), the latest last
         self.shared_changed = True  # whether the shared tables differ from those published
@@ -62,6 +69,7 @@
     # Which proxies are served
 
     def join(self, proxy):
+        """Begins to serve a proxy, without any bindings."""
         state = self.proxies.get(proxy) or ProxyState()
         retries, state = state.retries, ProxyState()
         state.retries = retries  # retry orders stay until the proxy reports that it has taken them on
@@ -69,6 +77,7 @@
         self.departed.discard(proxy)
 
     def leave(self, proxy):
+        """Stops serving a proxy. Its orders are published once more, to say so."""
         if self.proxies.pop(proxy, None):
             self.departed.add(proxy)
             for _, awaited in self.unacknowledged:
@@ -126,15 +135,16 @@
         state.dirty = True
         return self.last_retry_number
 
-    # What is to be written
+    # Publication
 
     def has_changes(self):
+        """Whether anything has to be published."""
         return self.shared_changed or bool(self.departed) or any(state.dirty for state in self.proxies.values())
 
     def steps(self):
-        """The steps of a publication, in order: ("body", name, bytes), ("tables", bytes), ("orders", proxy, bytes), and
-        from `publication_done` ("drop", name of a body). Each publication ends with a call of `publication_done` or
-        `publication_failed`."""
+        """Begins a publication and returns its steps, in order: ("body", name, bytes), ("tables", bytes) and
+        ("orders", proxy, bytes). Each publication ends with a call of `publication_done`, which returns further steps
+        of the form ("drop", name of a body), or of `publication_failed`."""
         steps, bodies = [], dict(self.published.bodies) if self.published else {}
         if self.shared_changed:
             for table in self.changed_tables | (self.tables.keys() - bodies.keys()):
@@ -168,10 +178,12 @@
         return steps
 
     def orders_of(self, proxy, state, needs):
+        """The orders of a proxy, under a new generation. `needs`: the oldest tables that they may be applied with."""
         bound = {self.routes[route]: table for route, table in state.bound.items()}
         return Orders(self.next_header(state.generation), proxy, state.active, needs, bound, tuple(state.retries))
 
     def next_header(self, after):
+        """A header with a new generation. `after`: generation of the file that is replaced, 0 where there is none."""
         self.generation += 1
         return Header(self.fence, self.life, self.generation, after)
 
@@ -216,7 +228,11 @@
                 self.proxies[proxy].dirty = True
 
     def drop_unneeded_bodies(self):
-        """Steps that remove the bodies which no tables that a reader may still hold refer to."""
+        """Steps that remove the bodies which none of the tables that a proxy may still use refer to.
+
+        `oldest` is the lowest generation of tables that a proxy has reported as in force. A publication is no longer
+        needed once the one after it is not newer than `oldest`. The last publication always is.
+        """
         oldest = min((state.applied[0] for state in self.proxies.values()), default=self.published.header.generation)
         self.recent_bodies = [
             recent
@@ -259,8 +275,7 @@
         return acknowledged
 
     def lags(self, now):
-        """Proxy -> microseconds for which it has had some decision that it has not applied; 0 if it has applied
-        all."""
+        """Proxy -> microseconds since its `unapplied_since`; 0 if it has applied all decisions."""
         return {
             p: now - state.unapplied_since if state.unapplied_since is not None else 0
             for p, state in self.proxies.items()
--- a/cranecleat/files/recover.py
+++ b/cranecleat/files/recover.py
@@ -11,7 +11,9 @@
 
 @dataclass(slots=True)
 class FolderContent:
-    generation: int = 0  # the highest one of all files
+    """What a scan of the folder has found."""
+
+    generation: int = 0  # the highest generation in the tables and all usable orders
     tables: object = None  # the tables file, if it can be used
     bodies: dict = field(default_factory=dict)  # name -> size in bytes
     orders: dict = field(default_factory=dict)  # proxy -> its orders
--- a/cranecleat/files/view.py
+++ b/cranecleat/files/view.py
@@ -19,14 +19,15 @@
     weights: dict = field(default_factory=dict)  # route -> {backend: weight}
     levels: dict = field(default_factory=dict)  # route -> (level, tries)
     withdrawn: frozenset = frozenset()  # backends
-    applied: tuple = (0, 0)  # generations of tables and orders
+    applied: tuple = (0, 0)  # generations of the tables and orders that are in force
 
 
 class View:
     """The files that one proxy has accepted.
 
     last_retry: number of the last retry order that was taken on, as the reader has stored it.
-    seen: generations of tables and orders accepted under `fence`.
+    fence: the highest fence accepted.
+    seen: generations of tables and orders last accepted under `fence`.
     """
 
     def __init__(self, proxy, last_retry=0, fence=0):
@@ -35,11 +36,11 @@
         self.in_force = InForce()
 
     def offer(self, orders, tables, body_of):
-        """Puts orders and tables in force, as they were read. `body_of(name)` returns a body or raises
-        `UnusableFileError`.
+        """Checks orders and tables that were read, and puts them in force if they may be applied together.
+        `body_of(name)` returns a body or raises `UnusableFileError`.
 
         Returns the retry orders that are new; the caller passes each to `take_on` before it acts on it. Raises
-        `UnusableFileError` if the files cannot be used."""
+        `UnusableFileError` if the files cannot be used; what is in force then stays."""
         if orders.proxy != self.proxy:
             raise UnusableFileError(f"orders of proxy {orders.proxy}, not {self.proxy}")
         if min(orders.header.fence, tables.header.fence) < self.fence:
@@ -64,6 +65,7 @@
             if table not in tables.bodies:
                 raise UnusableFileError(f"bound to table {table}, which does not exist")
             in_force.weights[route] = dict(body_of(tables.bodies[table]).entries)
+            # The level for all proxies and that of the table: the lower level counts, with the table's `tries` if set.
             both = [tables.levels[key] for key in ((None, route), (table, route)) if key in tables.levels]
             if both:
                 in_force.levels[route] = min(level for level, _ in both), both[-1][1]
@@ -71,8 +73,8 @@
         return tuple(retry for retry in orders.retries if retry.number > self.last_retry) if orders.active else ()
 
     def take_on(self, retry):
-        """Whether the reader may act on this retry order, now that its number has been stored. Each order is acted on
-        once only."""
+        """Marks a retry order as taken on and returns whether the reader may act on it: False if it was taken on
+        before. The caller has stored the order's number first, so that no order is acted on twice."""
         if retry.number <= self.last_retry:
             return False
         self.last_retry = retry.number
--- a/cranecleat/rehearsal/day.py
+++ b/cranecleat/rehearsal/day.py
@@ -55,24 +55,24 @@
         RouteLoad(5.0, 1200 * MILLISECOND, 4 * SECOND, 0.15, 0.3, True),
     )
     zones: int = 3
-    measured_from: int = 10 * SECOND  # calls before it are not counted in the service
+    measured_from: int = 10 * SECOND  # calls that start earlier are not counted in the result `service`
     warm_up_time: int = 8 * SECOND
     cold_start_capacity: float = 0.2
     grace: int = 2 * SECOND
-    report_delay: tuple = (0.4, 1.0)  # seconds: the shortest and the longest
-    report_lines_per_second: int = 60  # that each coordinator gets; those that have waited longest come first
-    client_retries: int = 1  # of a failed call, each after a wait
-    stated_proxies: int = 0  # size of the deployment in the settings; a large one is divided into subsets
+    report_delay: tuple = (0.4, 1.0)  # seconds: the shortest and the longest delay of a report
+    report_lines_per_second: int = 60  # that each coordinator receives; lines that have waited longest come first
+    client_retries: int = 1  # how often a client retries a failed call, each time after a wait
+    stated_proxies: int = 0  # number of proxies in the settings; a large deployment is divided into subsets
     gossip: bool = False
     liars: int = 0  # coordinators that claim that every backend is dead
-    lost: float = 0.0  # share of the datagrams
-    doubled: float = 0.0  # share of the datagrams
-    files: bool = False  # whether proxies start on files; `end_streams` and `restore_streams` change it in service
+    lost: float = 0.0  # share of the gossip datagrams that are lost
+    doubled: float = 0.0  # share of the gossip datagrams that are sent twice
+    files: bool = False  # whether proxies start on files; `end_streams` and `restore_streams` move them during the day
     faults: list = field(default_factory=list)  # (time, name of a method of Day, its arguments)
 
 
 class Call:
-    """A client's call over all its tries; for a backend's queue, one try of it."""
+    """A client's call over all its tries. A separate object of this class stands for one try in a backend's queue."""
 
     __slots__ = ("route", "zone", "started_at", "tries", "abandoned", "executions", "finished")
 
@@ -107,8 +107,9 @@
         self.ejected_at = {}  # backend -> when it was ejected
         self.queue_event(("backends_listed", "whole", [self.list_entry(b) for b in day.fleet]))
 
-    def list_entry(self, b):
-        return b.index, b.listed_state, b.zone, 0, b.cores * 0.5, b.started_at
+    def list_entry(self, backend):
+        """The backend's entry in a list of discovery, as in the event `backends_listed`."""
+        return (backend.index, backend.listed_state, backend.zone, 0, backend.cores * 0.5, backend.started_at)
 
     def queue_event(self, event):
         """Queues an event for the next round, and schedules the round."""
@@ -174,7 +175,7 @@
 
 
 class Day:
-    """One run of a scenario.
+    """One run of a scenario. In the methods, `b` is the index of a backend.
 
     `make_recorder(coordinator's number)`, where given, makes the `Recorder` of its events and decisions.
     """
@@ -238,46 +239,53 @@
         return Proxy(number, number % self.scenario.zones, {int(b): 1.0 for b in drawn})
 
     def start_gossip(self):
-        members = [Member(c.name, (c.name, 1), (HashSigner(c.name).public,)) for c in self.coordinators]
-        for c in self.coordinators:
-            roster = Roster("rehearsal", c.name, members)
-            agent_class = LyingAgent if c.number >= self.scenario.coordinators - self.scenario.liars else Agent
-            c.bridge = Bridge(c.planner, self)
-            c.agent = agent_class(
+        members = [
+            Member(coordinator.name, (coordinator.name, 1), (HashSigner(coordinator.name).public,))
+            for coordinator in self.coordinators
+        ]
+        for coordinator in self.coordinators:
+            roster = Roster("rehearsal", coordinator.name, members)
+            agent_class = (
+                LyingAgent if coordinator.number >= self.scenario.coordinators - self.scenario.liars else Agent
+            )
+            coordinator.bridge = Bridge(coordinator.planner, self)
+            coordinator.agent = agent_class(
                 roster,
-                HashSigner(c.name),
-                f"{self.scenario.seed}:{c.name}",
+                HashSigner(coordinator.name),
+                f"{self.scenario.seed}:{coordinator.name}",
                 START_UNIX_SECONDS,
                 self.simulation.now,
                 checker=HashChecker(roster),
                 rate=DEFAULT_BYTES_PER_SECOND,
             )
-            c.address = (c.name, 1)
-            self.network.receivers[c.address] = partial(self.receive_datagram, c)
-            first_step = GOSSIP_STEP_US * (1 + c.number / self.scenario.coordinators)
-            self.simulation.call_after(first_step, self.step_gossip, c)
-            c.next_peer_events_at = 0
+            coordinator.address = (coordinator.name, 1)
+            self.network.receivers[coordinator.address] = partial(self.receive_datagram, coordinator)
+            first_step = GOSSIP_STEP_US * (1 + coordinator.number / self.scenario.coordinators)
+            self.simulation.call_after(first_step, self.step_gossip, coordinator)
+            coordinator.next_peer_events_at = 0
 
     ids = property(lambda self: self.coordinators[0].ids)  # backends' ids by index, for `Bridge`
 
     def unix_time(self):
         return START_UNIX_SECONDS + self.simulation.now / SECOND
 
-    def receive_datagram(self, c, data, sender):
-        self.network.send(c.address, c.agent.received(self.simulation.now, self.unix_time(), data, sender))
+    def receive_datagram(self, coordinator, data, sender):
+        self.network.send(
+            coordinator.address, coordinator.agent.received(self.simulation.now, self.unix_time(), data, sender)
+        )
 
-    def step_gossip(self, c):
+    def step_gossip(self, coordinator):
         now = self.simulation.now
-        if isinstance(c.agent, LyingAgent):
-            c.agent.claimed_backends = [c.bridge.key(b) for b in c.planner.backends]
-        c.agent.observe(now, c.bridge.missing_answers())
-        self.network.send(c.address, c.agent.tick(now, self.unix_time()))
-        pooled = c.agent.pooled(now)
-        if (pooled or c.bridge.reported) and now >= c.next_peer_events_at:
-            c.next_peer_events_at = now + SECOND
-            for event in c.bridge.events(pooled):
-                c.queue_event(event)
-        self.simulation.call_after(GOSSIP_STEP_US, self.step_gossip, c)
+        if isinstance(coordinator.agent, LyingAgent):
+            coordinator.agent.claimed_backends = [coordinator.bridge.key(b) for b in coordinator.planner.backends]
+        coordinator.agent.observe(now, coordinator.bridge.missing_answers())
+        self.network.send(coordinator.address, coordinator.agent.tick(now, self.unix_time()))
+        pooled = coordinator.agent.pooled(now)
+        if (pooled or coordinator.bridge.reported) and now >= coordinator.next_peer_events_at:
+            coordinator.next_peer_events_at = now + SECOND
+            for event in coordinator.bridge.events(pooled):
+                coordinator.queue_event(event)
+        self.simulation.call_after(GOSSIP_STEP_US, self.step_gossip, coordinator)
 
     # Faults
 
@@ -306,13 +314,15 @@
     def update_listing(self, b, state, delay):
         """Discovery tells each coordinator of the state after `delay` seconds and up to 0.05 s more."""
         self.fleet[b].listed_state = state
-        for c in self.coordinators:
-            self.simulation.call_after((delay + 0.05 * self.draw_uniform()) * SECOND, self.receive_listing, c, b, state)
+        for coordinator in self.coordinators:
+            self.simulation.call_after(
+                (delay + 0.05 * self.draw_uniform()) * SECOND, self.receive_listing, coordinator, b, state
+            )
 
-    def receive_listing(self, c, b, state):
+    def receive_listing(self, coordinator, b, state):
         if self.fleet[b].listed_state == state:
-            self.audit.state_listed(c.name, b, state)
-            c.queue_event(("backends_listed", "changes", [c.list_entry(self.fleet[b])]))
+            self.audit.state_listed(coordinator.name, b, state)
+            coordinator.queue_event(("backends_listed", "changes", [coordinator.list_entry(self.fleet[b])]))
 
     def partition(self, numbers):
         """Cuts these coordinators off from the others."""
@@ -321,43 +331,43 @@
     def heal(self):
         self.network.partitions = ()
 
-    def record_ejection(self, c, b):
+    def record_ejection(self, coordinator, b):
         """Notes that a coordinator ejected a backend: in time, or falsely."""
         since, backend = self.unresponsive_since.get(b), self.fleet[b]
         if since is not None:
-            self.ejection_times.setdefault(b, {})[c.name] = (self.simulation.now - since) / SECOND
+            self.ejection_times.setdefault(b, {})[coordinator.name] = (self.simulation.now - since) / SECOND
         elif backend.state == "running" and not backend.crashed and self.simulation.now >= self.scenario.measured_from:
-            self.false_ejections.append((self.simulation.now, c.name, b))
+            self.false_ejections.append((self.simulation.now, coordinator.name, b))
 
     def end_streams(self):
         """All streams end for good: proxies change to files once a stream has been lost for long enough."""
-        for c in self.coordinators:
-            for proxy in list(c.channel.joined.values()):
-                c.channel.leave(proxy.number)
-                c.queue_event(("proxy_left", proxy.number))
+        for coordinator in self.coordinators:
+            for proxy in list(coordinator.channel.joined.values()):
+                coordinator.channel.leave(proxy.number)
+                coordinator.queue_event(("proxy_left", proxy.number))
                 delay = STREAM_LOST_AFTER_US + SECOND // 10 * self.draw_uniform()
-                self.simulation.call_after(delay, self.join_through_files, c, proxy, False)
+                self.simulation.call_after(delay, self.join_through_files, coordinator, proxy, False)
 
     def restore_streams(self):
         """All streams are up again, and have been for long enough: proxies change back to them."""
-        for c in self.coordinators:
-            for proxy in list(c.folder.joined.values()):
-                c.folder.leave(proxy.number)
-                c.queue_event(("proxy_left", proxy.number))
+        for coordinator in self.coordinators:
+            for proxy in list(coordinator.folder.joined.values()):
+                coordinator.folder.leave(proxy.number)
+                coordinator.queue_event(("proxy_left", proxy.number))
                 delay = SECOND // 10 * self.draw_uniform()
-                self.simulation.call_after(delay, self.join_through_stream, c, proxy, False)
+                self.simulation.call_after(delay, self.join_through_stream, coordinator, proxy, False)
 
-    def join_through_files(self, c, proxy, uses_initial_table):
-        c.folder.join(proxy)
+    def join_through_files(self, coordinator, proxy, uses_initial_table):
+        coordinator.folder.join(proxy)
         rate = self.scenario.calls_per_second / len(self.proxies)
-        c.queue_event(("proxy_joined", proxy.number, proxy.zone, rate, uses_initial_table, 0))
+        coordinator.queue_event(("proxy_joined", proxy.number, proxy.zone, rate, uses_initial_table, 0))
 
-    def join_through_stream(self, c, proxy, uses_initial_table):
+    def join_through_stream(self, coordinator, proxy, uses_initial_table):
         """As on a real stream, the withdrawals that the proxy may still hold and that are not in force are lifted."""
-        proxy.withdrawn &= {b for b, backend in c.planner.backends.items() if backend.withdrawn}
-        c.channel.joined[proxy.number] = proxy
+        proxy.withdrawn &= {b for b, backend in coordinator.planner.backends.items() if backend.withdrawn}
+        coordinator.channel.joined[proxy.number] = proxy
         rate = self.scenario.calls_per_second / len(self.proxies)
-        c.queue_event(("proxy_joined", proxy.number, proxy.zone, rate, uses_initial_table, 0))
+        coordinator.queue_event(("proxy_joined", proxy.number, proxy.zone, rate, uses_initial_table, 0))
 
     # Calls
 
@@ -386,22 +396,22 @@
         sent = self.send_try(call, proxy, this_try)
         self.simulation.call_after(timeout, self.expire_try, call, this_try, proxy, sent)
 
-    def send_try(self, call, proxy, this_try, without=()):
-        """Sends the try to a backend of the proxy's table.
+    def send_try(self, call, proxy, this_try, excluded=()):
+        """Sends the try to a backend of the proxy's table that is not in `excluded`.
 
-        Another one gets it only on proof that the first did not run it. Returns the backend and the request there, or
-        None where no backend took it.
+        The proxy sends it to a second backend only if the first one did not accept it, which proves that it did not run
+        there. Returns the backend and the request there, or None where no backend accepted it.
         """
-        b = proxy.pick(call.route, self.draw_uniform(), without)
+        b = proxy.pick(call.route, self.draw_uniform(), excluded)
         if b is None:
             self.fail_try(call)
             return None
         self.audit.try_sent(proxy, b)
         work = self.scenario.routes[call.route].mean_work * self.draw_work_factor()
-        request = Call(call.route, call.zone, call.started_at)  # this try: dropped from the queue if the client leaves
+        request = Call(call.route, call.zone, call.started_at)  # this try; abandoned if the client gives it up
 
         def executed(_):
-            call.executions += call.tries == this_try[0]
+            call.executions += call.tries == this_try[0]  # a try that the client has given up does not count
             self.audit.call_executed(call, self.scenario.routes[call.route].mutating)
             self.simulation.call_after(ONE_WAY_DELAY_US, self.receive_answer, call, this_try, proxy, b)
 
@@ -409,7 +419,7 @@
             proxy.tries_by_backend.setdefault(b, [0, 0, 0])
             proxy.tries_by_backend[b][0] += 1
             proxy.tries_by_backend[b][1] += 1
-            if not without:
+            if not excluded:
                 return self.send_try(call, proxy, this_try, (b,))
             self.fail_try(call)
             return None
@@ -447,17 +457,17 @@
 
     def run(self):
         for p in self.proxies:
-            c = self.coordinators[p.number % len(self.coordinators)]
-            p.coordinator = c
-            (self.join_through_files if self.scenario.files else self.join_through_stream)(c, p, True)
-        for c in self.coordinators:
-            self.simulation.call_after(SECOND * (1 + c.number / len(self.coordinators)), c.report)
+            coordinator = self.coordinators[p.number % len(self.coordinators)]
+            p.coordinator = coordinator
+            (self.join_through_files if self.scenario.files else self.join_through_stream)(coordinator, p, True)
+        for coordinator in self.coordinators:
+            self.simulation.call_after(SECOND * (1 + coordinator.number / len(self.coordinators)), coordinator.report)
         for when, method, *values in self.scenario.faults:
             self.simulation.call_at(when, getattr(self, method), *values)
         self.simulation.call_after(0, self.start_call)
         self.simulation.call_after(SECOND, self.audit.check_periodically)
         self.simulation.run(self.scenario.length)
-        honest = {c.name for c in self.coordinators[: len(self.coordinators) - self.scenario.liars]}
+        honest = {coordinator.name for coordinator in self.coordinators[: len(self.coordinators) - self.scenario.liars]}
         mean_ejection_times = [
             sum(seconds for name, seconds in times.items() if name in honest) / max(len(honest & times.keys()), 1)
             for times in self.ejection_times.values()
--- a/cranecleat/rehearsal/edge.py
+++ b/cranecleat/rehearsal/edge.py
@@ -24,10 +24,11 @@
     def weights(self, route):
         return self.tables.get(route, self.initial_table)
 
-    def pick(self, route, point, without=()):
-        """A backend by weight, or None where none is left. `point` is a random number from 0 to 1."""
+    def pick(self, route, point, excluded=()):
+        """A backend by weight that is not in `excluded`, or None where none is left. `point` is a random number from 0
+        to 1."""
         entries = [
-            (b, w) for b, w in self.weights(route).items() if b not in self.withdrawn and b not in without and w > 0
+            (b, w) for b, w in self.weights(route).items() if b not in self.withdrawn and b not in excluded and w > 0
         ]
         remaining = point * sum(w for _, w in entries)
         for b, weight in entries:
@@ -56,7 +57,8 @@
 class Channel:
     """Sends messages in order at a fixed number of lines per second.
 
-    `queued_lines` counts the lines that wait, as rule 5 counts them.
+    `queued_lines` counts the lines that wait, as rule 5 counts them. A message costs
+    `message_overhead` + 1 lines besides its content.
     """
 
     def __init__(self, simulation, lines_per_second, message_overhead, backlog, queue_event):
--- a/cranecleat/rehearsal/fleet.py
+++ b/cranecleat/rehearsal/fleet.py
@@ -4,9 +4,9 @@
 
 from cranecleat.rehearsal.world import SECOND
 
-# A cold backend crashes once it is sent more than this multiple of its present capacity for so many seconds in a row.
-COLD_OVERLOAD_MULTIPLE = 4.0
-COLD_OVERLOAD_SECONDS = 3
+# A cold backend crashes once it has been overloaded for several seconds in a row.
+COLD_OVERLOAD_MULTIPLE = 4.0  # overloaded: sent more work in a second than this multiple of its present capacity
+COLD_OVERLOAD_SECONDS = 3  # overloaded seconds in a row until it crashes
 
 
 class Backend:
--- a/tests/files_harness.py
+++ b/tests/files_harness.py
@@ -19,8 +19,8 @@
 
 
 class CountedCalls:
-    """System calls that are counted: `before(n, name)` is called before the n-th is made. `only`: the names of the
-    calls that count."""
+    """Counts system calls and makes them. `before(n, name)` is called before the n-th call. `only`: names of the system
+    calls that are counted; the others are made without `before`."""
 
     CHANGING = ("open", "write", "fsync", "close", "rename", "unlink")
 
@@ -60,8 +60,8 @@
 
 
 class Writer:
-    """Publishes as `FilesTransport` does, without the service: two tables, some proxies, and states that can be told
-    apart by their number."""
+    """Publishes as `FilesTransport` does, without the service: two tables, some proxies, and numbered states. All that
+    is published follows from the state's number, so that a mixture of two states can be detected."""
 
     def __init__(self, folder, system_calls=SystemCalls, proxies=3, unix_time=1000, sync="all"):
         self.disk = Disk(folder, sync, system_calls)
@@ -74,7 +74,7 @@
         self.ledger.bodies = found.bodies
         self.proxies, self.now = proxies, 0
 
-    def begin(self):
+    def join_proxies(self):
         """Joins the proxies and binds them to the tables."""
         for b in range(4):
             self.names(f"s-{b}")
@@ -87,7 +87,7 @@
                 self.ledger.bind(p, route, (route,))
         return self
 
-    def state(self, n):
+    def set_state(self, n):
         """Sets the n-th state: the weights in both tables, the withdrawn backend and the level all follow from n."""
         for route in range(2):
             for b in range(4):
@@ -105,7 +105,7 @@
         for step in self.ledger.publication_done(self.now):
             apply_step(self.disk, step)
 
-    def end(self):
+    def release(self):
         self.lock.release()
 
 
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -141,11 +141,11 @@
 def steps_of_one_publication(folder):
     """How many changing system calls a publication of a new state takes."""
     counted = CountedCalls()
-    writer = Writer(folder, counted).begin().state(1)
+    writer = Writer(folder, counted).join_proxies().set_state(1)
     writer.publish()
     before = counted.count
-    writer.state(2).publish()
-    writer.end()
+    writer.set_state(2).publish()
+    writer.release()
     return counted.count - before
 
 
@@ -155,7 +155,7 @@
     for k in range(1, total + 1):
         folder = tmp_path / str(k)
         counted = CountedCalls()
-        writer = Writer(folder, counted).begin().state(1)
+        writer = Writer(folder, counted).join_proxies().set_state(1)
         writer.publish()
         reader = follower(folder)
         reader.poll()
@@ -163,20 +163,20 @@
         calls_so_far = counted.count
         counted.before = kill_at(calls_so_far + k)
         with pytest.raises(Killed):
-            writer.state(2).publish()
-        writer.end()
+            writer.set_state(2).publish()
+        writer.release()
         reader.poll()
         fresh = follower(folder)
         fresh.poll()
         assert state_in_force(reader) in (1, 2) and state_in_force(fresh) in (1, 2)
         after = Writer(folder, unix_time=2000)
         assert after.ledger.generation >= writer.found.generation and after.found.errors == []
-        after.begin().state(3).publish()
+        after.join_proxies().set_state(3).publish()
         for one in (reader, fresh):
             one.poll()
             assert state_in_force(one) == 3, (k, one.error)
         assert not [name for _, _, names in os.walk(folder) for name in names if name.endswith(".new")]
-        after.end()
+        after.release()
 
 
 @pytest.mark.parametrize("code", [NO_SPACE, BAD_DISK])
@@ -185,13 +185,13 @@
     for k in range(1, total + 1):
         folder = tmp_path / str(k)
         counted = CountedCalls()
-        writer = Writer(folder, counted).begin().state(1)
+        writer = Writer(folder, counted).join_proxies().set_state(1)
         writer.publish()
         reader = follower(folder)
         reader.poll()
         counted.before = fail_at(counted.count + k, code)
         try:
-            writer.state(2).publish()
+            writer.set_state(2).publish()
         except OSError:
             failures += 1
             writer.ledger.publication_failed()
@@ -205,23 +205,23 @@
         reader.poll()
         assert state_in_force(reader) == 2
         assert not scan_folder(writer.disk).errors
-        writer.end()
+        writer.release()
     assert failures > total / 2
 
 
 def test_files_replaced_twice_between_any_two_system_calls_of_a_reader(tmp_path):
-    writer = Writer(tmp_path, sync="none").begin().state(1)
+    writer = Writer(tmp_path, sync="none").join_proxies().set_state(1)
     writer.publish()
     state, k, ends = 1, 0, 0
     while True:
         k += 1
-        moved = []
+        published = []
 
-        def publish_twice(n, name, k=k, moved=moved, state=state):
+        def publish_twice(n, name, k=k, published=published, state=state):
             if n == k:
-                moved.append(n)
+                published.append(n)
                 for _ in range(2):
-                    moved.append(writer.state(state + len(moved)).publish())
+                    published.append(writer.set_state(state + len(published)).publish())
 
         counted = CountedCalls(publish_twice, only=("open", "read", "fstat", "close"))
         reader = follower(tmp_path, system_calls=counted)
@@ -230,8 +230,8 @@
         state += 2
         reader.disk.system_calls = CountedCalls()
         reader.poll()
-        assert state_in_force(reader) == (state if moved else state_in_force(reader))
-        if not moved:
+        assert state_in_force(reader) == (state if published else state_in_force(reader))
+        if not published:
             ends += 1
             break
         state = state_in_force(reader)
@@ -239,18 +239,18 @@
 
 
 def test_a_second_writer_is_refused_and_a_fenced_one_stops(tmp_path):
-    first = Writer(tmp_path).begin().state(1)
+    first = Writer(tmp_path).join_proxies().set_state(1)
     with pytest.raises(FolderHeldError, match="n0, fence 1000"):
         Writer(tmp_path, unix_time=2000)
     first.publish()
-    os.close(first.lock.file)  # another machine, where the lock does not reach
-    second = Writer(tmp_path, unix_time=900).begin().state(2)
+    os.close(first.lock.file)  # as if the second writer ran on another machine, where the lock has no effect
+    second = Writer(tmp_path, unix_time=900).join_proxies().set_state(2)
     second.publish()
     reader = follower(tmp_path)
     reader.poll()
     assert state_in_force(reader) == 2 and second.lock.fence == 1001
     with pytest.raises(FencedError, match="fence 1001; ours is 1000"):
-        first.state(3).publish()
+        first.set_state(3).publish()
     for step in first.ledger.steps():  # as if it had checked its lock just before it was fenced
         apply_step(first.disk, step)
     reader.poll()
@@ -258,29 +258,29 @@
 
 
 def test_bodies_are_kept_while_a_reader_may_need_them_and_removed_after(tmp_path):
-    writer = Writer(tmp_path).begin().state(1)
+    writer = Writer(tmp_path).join_proxies().set_state(1)
     writer.publish()
     reader = follower(tmp_path)
     reader.poll()
     for n in range(2, 12):
-        writer.state(n).publish()
+        writer.set_state(n).publish()
     assert len(os.listdir(tmp_path / "bodies")) == 11
     reader.poll()
     for p in range(3):
         writer.ledger.acknowledge(p, *reader.view.in_force.applied, 0, 5)
-    writer.state(12).publish()
+    writer.set_state(12).publish()
     assert len(os.listdir(tmp_path / "bodies")) <= 2
     for n in range(13, 200):  # no proxy reports any more, and still only so many bodies are kept
-        writer.state(n).publish()
+        writer.set_state(n).publish()
     assert len(os.listdir(tmp_path / "bodies")) <= 66
     reader.poll()
     assert state_in_force(reader) == 199
 
 
 def test_a_folder_of_an_earlier_life_is_taken_over_and_its_errors_are_reported(tmp_path):
-    writer = Writer(tmp_path).begin().state(1)
+    writer = Writer(tmp_path).join_proxies().set_state(1)
     writer.publish()
-    writer.end()
+    writer.release()
     (tmp_path / "notes.txt").write_text("of a person")
     (tmp_path / "orders" / "1").write_bytes((tmp_path / "orders" / "1").read_bytes()[:-20])
     (tmp_path / "orders" / "2").unlink()
@@ -291,7 +291,7 @@
     assert after.lock.fence > writer.lock.fence and after.found.swept == 1
     assert after.found.foreign == ["notes.txt"]
     assert_matches_trace("files_earlier_life", [f"{path}: {error}" for path, error in sorted(after.found.errors)])
-    after.begin().state(4).publish()
+    after.join_proxies().set_state(4).publish()
     reader = follower(tmp_path, 1)
     reader.poll()
     assert state_in_force(reader) == 4
@@ -301,7 +301,7 @@
 
 
 def test_a_retry_order_is_acted_on_once_across_restarts_and_replaced_files(tmp_path):
-    writer, state_file = Writer(tmp_path / "d").begin().state(1), tmp_path / "kept"
+    writer, state_file = Writer(tmp_path / "d").join_proxies().set_state(1), tmp_path / "kept"
     writer.publish()
     reader, acted, text = follower(tmp_path / "d", state_file=state_file), [], []
 
@@ -316,7 +316,7 @@
     old = (tmp_path / "d" / "orders" / "0").read_bytes()
     poll_and_note(reader, "ordered")
     poll_and_note(reader, "polled again")
-    writer.state(2).publish()
+    writer.set_state(2).publish()
     poll_and_note(reader, "published anew, not yet acknowledged")
     reader = follower(tmp_path / "d", state_file=state_file)
     poll_and_note(reader, "reader started again")
@@ -326,8 +326,8 @@
     (tmp_path / "d" / "orders" / "0").write_bytes(old)
     poll_and_note(reader, "an older generation is put back")
     poll_and_note(follower(tmp_path / "d", state_file=state_file), "the same, seen by a reader that started again")
-    writer.end()
-    after = Writer(tmp_path / "d", unix_time=5000).begin().state(3)
+    writer.release()
+    after = Writer(tmp_path / "d", unix_time=5000).join_proxies().set_state(3)
     second = after.ledger.order_retry(0, "new-address 18", "unsent")
     after.publish()
     poll_and_note(reader, "ordered by the writer's next life")
@@ -342,7 +342,7 @@
     most."""
     for k in range(1, 12):
         folder, state_file = tmp_path / f"d{k}", tmp_path / f"kept{k}"
-        writer = Writer(folder).begin().state(1)
+        writer = Writer(folder).join_proxies().set_state(1)
         writer.ledger.order_retry(0, "c", "refused")
         writer.publish()
         reader, acted = follower(folder, state_file=state_file), []
@@ -359,7 +359,7 @@
         acted += follower(folder, state_file=state_file).poll()
         acted += follower(folder, state_file=state_file).poll()
         assert len(acted) == 1
-        writer.end()
+        writer.release()
 
 
 def test_retry_orders_need_a_joined_proxy_and_are_limited():
@@ -374,7 +374,7 @@
 
 
 def test_acknowledgements_follow_what_is_in_force_and_lag_is_measured(tmp_path):
-    writer, text = Writer(tmp_path, proxies=2).begin(), []
+    writer, text = Writer(tmp_path, proxies=2).join_proxies(), []
     ledger = writer.ledger
     text.append(f"bound: ack 1 is requested of {sorted(ledger.request_ack(1))}")
     writer.publish()
@@ -411,7 +411,7 @@
 
 
 def test_a_thousand_proxies_share_bodies_and_one_changed_weight_costs_one_body_and_the_tables(tmp_path):
-    writer = Writer(tmp_path, proxies=1000, sync="none").begin()
+    writer = Writer(tmp_path, proxies=1000, sync="none").join_proxies()
     writer.publish()
     assert len(os.listdir(tmp_path / "orders")) == 1000 and len(os.listdir(tmp_path / "bodies")) == 1
     before = dict(writer.ledger.counters)
@@ -429,7 +429,7 @@
 
 def test_a_missing_replaced_or_invalid_folder_leaves_the_last_state_in_force(tmp_path):
     folder, text = tmp_path / "d", []
-    writer = Writer(folder).begin().state(1)
+    writer = Writer(folder).join_proxies().set_state(1)
     writer.publish()
     reader = follower(folder)
 
@@ -440,8 +440,8 @@
     poll_and_note("available")
     folder.rename(tmp_path / "away")
     poll_and_note("not available")
-    writer.end()
-    other = Writer(folder, unix_time=3000).begin().state(5)
+    writer.release()
+    other = Writer(folder, unix_time=3000).join_proxies().set_state(5)
     other.publish()
     poll_and_note("replaced by another folder")
     data = (folder / "tables").read_bytes()
@@ -452,7 +452,7 @@
     poll_and_note("tables are a link")
     (folder / "tables").unlink()
     poll_and_note("tables removed")
-    other.state(6).publish()
+    other.set_state(6).publish()
     poll_and_note("published again")
     assert_matches_trace("files_reader", [line.replace(str(tmp_path), "") for line in text])
 
@@ -493,7 +493,7 @@
     def take(after, *values, **more):
         nonlocal now
         now += round(after * SECOND)
-        text.append(f"{now / SECOND:5.2f}  {intake.take(now, report(*values, **more)) or 'nothing'}")
+        text.append(f"{now / SECOND:5.2f}  {intake.process_report(now, report(*values, **more)) or 'nothing'}")
 
     take(0, "p3", calls={"read": 100}, typical_rate=7.0)
     take(0.5, "p3", beat=2, calls={"read": 105})
@@ -510,7 +510,7 @@
         1.0, "zb", zone="b", beat=2, attempts={"s-1": (16, 3, 1300), "s-unlisted": (9, 0, 90)}, load={"s-1": (0.5, 6.0)}
     )
     now += 3 * SECOND
-    text.append(f"{now / SECOND:5.2f}  silent: {intake.silent(now)}")
+    text.append(f"{now / SECOND:5.2f}  silent: {intake.remove_silent_writers(now)}")
     text.append("# the coordinator's next life: the first report only sets the values to count from")
     intake = new_intake()
     take(0, "p3", life=2, beat=50, calls={"read": 90})
@@ -520,7 +520,7 @@
 
 def test_impossible_reports_are_refused():
     intake, text = new_intake(), []
-    intake.take(0, report("p1", calls={"read": 10}, attempts={"s-1": (5, 1, 100)}))
+    intake.process_report(0, report("p1", calls={"read": 10}, attempts={"s-1": (5, 1, 100)}))
     for n, (who, more) in enumerate(
         (
             ("p5", {}),
@@ -538,9 +538,9 @@
         )
     ):
         with pytest.raises(UnusableFileError) as error:
-            intake.take(SECOND, report(who, beat=2 + n, **more))
+            intake.process_report(SECOND, report(who, beat=2 + n, **more))
         text.append(f"{who} {more}: {error.value}")
-    assert intake.take(2 * SECOND, report("p1", beat=99, calls={"read": 13}))[0] == (
+    assert intake.process_report(2 * SECOND, report("p1", beat=99, calls={"read": 13}))[0] == (
         "demand_reported",
         1,
         0,
@@ -552,10 +552,16 @@
 
 def test_a_clock_that_steps_back_counts_nothing_twice_and_ends_no_proxy():
     intake = new_intake()
-    intake.take(100 * SECOND, report("p1", calls={"read": 1}))
-    assert intake.take(10 * SECOND, report("p1", beat=2, calls={"read": 5})) == []
-    assert intake.silent(10 * SECOND) == ([], [])
-    assert intake.take(101 * SECOND, report("p1", beat=3, calls={"read": 9}))[0] == ("demand_reported", 1, 0, 8, SECOND)
+    intake.process_report(100 * SECOND, report("p1", calls={"read": 1}))
+    assert intake.process_report(10 * SECOND, report("p1", beat=2, calls={"read": 5})) == []
+    assert intake.remove_silent_writers(10 * SECOND) == ([], [])
+    assert intake.process_report(101 * SECOND, report("p1", beat=3, calls={"read": 9}))[0] == (
+        "demand_reported",
+        1,
+        0,
+        8,
+        SECOND,
+    )
 
 
 # Choice of transport
@@ -568,7 +574,7 @@
         nonlocal now
         now += round(after * SECOND)
         if kind:
-            getattr(selector, kind)(now, 7, *values)
+            getattr(selector, f"record_{kind}")(now, 7, *values)
         for proxy, transport in selector.decide(now):
             text.append(f"{now / SECOND:6.2f}  proxy {proxy}: {transport}")
 
@@ -601,7 +607,7 @@
     for kind, is_up, later in changes:
         now += later
         selector.decide(now)
-        getattr(selector, kind)(now, 1, is_up)
+        getattr(selector, f"record_{kind}")(now, 1, is_up)
         if up[kind] != is_up or kind == "stream":
             up[kind], since[kind] = is_up, now
         for _, transport in selector.decide(now):
@@ -618,7 +624,7 @@
     """Hundreds of publications, with polls at random instants between their steps. `benchmarks/files.py` does the same
     with readers in processes of their own."""
     rng, n = random.Random(8), 1
-    writer = Writer(tmp_path, sync="none", proxies=2).begin().state(1)
+    writer = Writer(tmp_path, sync="none", proxies=2).join_proxies().set_state(1)
     writer.publish()
     readers = [follower(tmp_path, p) for p in range(2)]
     seen = set()
@@ -633,7 +639,7 @@
 
     writer.disk.system_calls = CountedCalls(poll_at_random)
     for n in range(2, 700):
-        writer.state(n).publish()
+        writer.set_state(n).publish()
     assert len(seen) > 200
 
 
