--- a/cranecleat/files/disk.py
+++ b/cranecleat/files/disk.py
@@ -14,8 +14,8 @@
 
 from cranecleat.files.format import MAX_FILE_BYTES, FileLines, UnusableFileError, encode_file, quote_name, unquote_name
 
-TABLES, OWNER, LOCK = "tables", "owner", "lock"
-BODIES, ORDERS, REPORTS = "bodies", "orders", "back"
+TABLES, OWNER, LOCK = "tables", "owner", "lock"  # names of files in the folder
+BODIES, ORDERS, REPORTS = "bodies", "orders", "back"  # names of its subfolders
 TEMPORARY_SUFFIX = ".new"
 # "none": nothing is synced. "data": each file is synced before it gets its name. "all": the folder is synced after that
 # as well.
--- a/cranecleat/files/follow.py
+++ b/cranecleat/files/follow.py
@@ -28,10 +28,10 @@
 
     def __init__(self, folder, proxy, state_file=None, system_calls=SystemCalls):
         self.disk, self.proxy, self.state_file = Disk(folder, "data", system_calls), proxy, state_file
-        self.view = View(proxy, *self.load())
+        self.view = View(proxy, *self.load_state())
         self.version, self.error, self.bodies = None, None, {}
 
-    def load(self):
+    def load_state(self):
         """(number of the last retry order taken on, fence) as stored, or (0, 0)."""
         try:
             with open(self.state_file, encoding="ascii") as file:
@@ -40,8 +40,8 @@
         except (OSError, TypeError, ValueError):
             return 0, 0
 
-    def save(self, retry):
-        """Stores that this retry order is taken on."""
+    def store_retry(self, retry):
+        """Stores the number of this retry order, with the fence, in the state file."""
         if self.state_file:
             state_disk = Disk(os.path.dirname(os.path.abspath(self.state_file)), "all")
             state_disk.replace(f"{retry.number} {self.view.fence}\n".encode(), os.path.basename(self.state_file))
@@ -50,28 +50,28 @@
         """Reads the files if they have changed, and puts them in force. Returns the retry orders to act on now, each
         once only. If the files cannot be used, `error` says why."""
         try:
-            version = [self.stat(ORDERS, str(self.proxy)), self.stat(TABLES)]
+            version = [self.file_version(ORDERS, str(self.proxy)), self.file_version(TABLES)]
         except OSError as failure:
             self.error = failure.strerror  # the folder is not available, so what is in force stays
             return []
         if version == self.version:
             return []
-        new_retries = self.read()
+        new_retries = self.read_files()
         if new_retries is None:
             return []
         self.version = version
         taken_on = []
         for retry in new_retries:
-            self.save(retry)
+            self.store_retry(retry)
             if self.view.take_on(retry):
                 taken_on.append(retry)
         return taken_on
 
-    def stat(self, *parts):
+    def file_version(self, *parts):
         status = os.stat(self.disk.path(*parts), follow_symlinks=False)
         return status.st_ino, status.st_mtime_ns, status.st_size
 
-    def read(self):
+    def read_files(self):
         """The new retry orders, or None if nothing could be put in force."""
         for _ in range(READ_TRIES):
             try:
@@ -80,7 +80,9 @@
                     self.error = "the file of orders or of tables does not exist"
                     return None
                 found = {}
-                new_retries = self.view.offer(read_orders(orders), read_tables(tables), partial(self.body, found=found))
+                new_retries = self.view.offer(
+                    read_orders(orders), read_tables(tables), partial(self.body_of, found=found)
+                )
                 self.bodies, self.error = found, None
                 return new_retries
             except UnusableFileError as error:
@@ -89,7 +91,7 @@
                 self.error = failure.strerror
         return None
 
-    def body(self, name, found):
+    def body_of(self, name, found):
         """The body of that name, also added to `found`. One that the tables in force refer to is not read again, as a
         body never changes."""
         if name not in found:
--- a/cranecleat/files/ledger.py
+++ b/cranecleat/files/ledger.py
@@ -188,7 +188,7 @@
         return Header(self.fence, self.life, self.generation, after)
 
     def step_done(self, step):
-        """Records that one step is completed."""
+        """Records that one step is completed: the bodies in the folder, and the counters."""
         kind, *values = step
         if kind == "body":
             self.bodies[values[0]] = len(values[1])
@@ -231,7 +231,7 @@
         """Steps that remove the bodies which none of the tables that a proxy may still use refer to.
 
         `oldest` is the lowest generation of tables that a proxy has reported as in force. A publication is no longer
-        needed once the one after it is not newer than `oldest`. The last publication always is.
+        needed once the one after it is not newer than `oldest`. The last publication is always needed.
         """
         oldest = min((state.applied[0] for state in self.proxies.values()), default=self.published.header.generation)
         self.recent_bodies = [
--- a/cranecleat/rehearsal/audit.py
+++ b/cranecleat/rehearsal/audit.py
@@ -42,25 +42,25 @@
                     self.without_backend_since.pop(key, None)
                 elif now - self.without_backend_since.setdefault(key, now) > MAX_US_WITHOUT_BACKEND:
                     self.record_violation(1, f"proxy {proxy.number} has no backend for route {route}")
-        for b in self.day.fleet:
-            if b.crashed:
-                self.record_violation(4, f"backend {b.index} was pushed over while cold")
+        for backend in self.day.fleet:
+            if backend.crashed:
+                self.record_violation(4, f"backend {backend.index} was pushed over while cold")
         self.day.simulation.call_after(CHECK_INTERVAL_US, self.check_periodically)
 
     def call_executed(self, call, mutating):
-        """Checks rule 2: no effect twice."""
+        """Checks rule 2 (no effect twice) after a backend has run a try of the call."""
         if mutating and call.executions > 1:
             self.record_violation(2, f"a call of route {call.route} took effect twice")
 
     def state_listed(self, coordinator, b, state):
-        """Notes that a coordinator learned of a backend's state."""
+        """Records that a coordinator learned of the state of backend `b`, an index. `coordinator` is its name."""
         if state == "running":
             self.draining_since.pop((coordinator, b), None)
         else:
             self.draining_since.setdefault((coordinator, b), self.day.simulation.now)
 
     def try_sent(self, proxy, b):
-        """Checks rule 3: drains within the grace."""
+        """Checks rule 3 (drains within the grace) as a proxy sends a try to backend `b`, an index."""
         since = self.draining_since.get((proxy.coordinator.name, b)) if proxy.coordinator else None
         if since is not None and self.day.simulation.now - since > self.scenario.grace:
             coordinator = proxy.coordinator.name
--- a/cranecleat/rehearsal/day.py
+++ b/cranecleat/rehearsal/day.py
@@ -166,7 +166,7 @@
 
 
 class LyingAgent(Agent):
-    """Claims of every backend that it does not answer."""
+    """Claims that no backend answers."""
 
     claimed_backends = ()
 
@@ -332,7 +332,8 @@
         self.network.partitions = ()
 
     def record_ejection(self, coordinator, b):
-        """Notes that a coordinator ejected a backend: in time, or falsely."""
+        """Records that a coordinator ejected a backend: how long after it stopped answering, or that the ejection was
+        false."""
         since, backend = self.unresponsive_since.get(b), self.fleet[b]
         if since is not None:
             self.ejection_times.setdefault(b, {})[coordinator.name] = (self.simulation.now - since) / SECOND
--- a/tests/files_harness.py
+++ b/tests/files_harness.py
@@ -50,7 +50,7 @@
 
 
 def fail_at(k, code):
-    """Fails the k-th call, if it is one that the disk can fail."""
+    """Fails the k-th call with this error number, if it is one that the disk can fail."""
 
     def before(n, name):
         if n == k and name in ("open", "write", "fsync", "rename"):
@@ -134,4 +134,5 @@
     return Report(who, more.pop("zone", "a"), life, beat, more.pop("every", 100), **more)
 
 
-NO_SPACE, BAD_DISK = errno.ENOSPC, errno.EIO
+NO_SPACE = errno.ENOSPC
+BAD_DISK = errno.EIO
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -210,6 +210,8 @@
 
 
 def test_files_replaced_twice_between_any_two_system_calls_of_a_reader(tmp_path):
+    """In pass k, two states are published just before the k-th system call of a new reader's first poll. The passes end
+    once a poll makes fewer than k calls."""
     writer = Writer(tmp_path, sync="none").join_proxies().set_state(1)
     writer.publish()
     state, k, ends = 1, 0, 0
@@ -346,14 +348,14 @@
         writer.ledger.order_retry(0, "c", "refused")
         writer.publish()
         reader, acted = follower(folder, state_file=state_file), []
-        save = reader.save
+        save = reader.store_retry
 
         def dying_save(retry, k=k, save=save):
             if k % 2:
                 raise Killed
             save(retry)
 
-        reader.save = dying_save
+        reader.store_retry = dying_save
         with contextlib.suppress(Killed):
             acted += reader.poll()
         acted += follower(folder, state_file=state_file).poll()
--- a/tests/test_files_daemon.py
+++ b/tests/test_files_daemon.py
@@ -23,7 +23,7 @@
 from planner_harness import CoordinatorProcess, assert_matches_trace, http_chunk
 
 ROOT = Path(__file__).parent.parent
-WAIT = 20
+WAIT_SECONDS = 20
 
 
 @pytest.fixture
@@ -60,7 +60,7 @@
                     pass
 
     def wait_until(self, condition):
-        deadline = time.monotonic() + WAIT
+        deadline = time.monotonic() + WAIT_SECONDS
         while not condition(self.follower.view):
             assert time.monotonic() < deadline, f"never: {self.follower.view.in_force} {self.follower.error}"
             time.sleep(0.01)
