--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -93,6 +93,13 @@
     assert_matches_trace("lines", [decode(line) for line in found])
 
 
+def test_a_heartbeat_cut_at_any_byte_can_still_be_completed():
+    """A read may end anywhere in a message. The beginning that has come must not end the connection."""
+    heartbeat = b"hb" + lines.CRLF
+    for end in range(1, len(heartbeat)):
+        lines.check_prefix(heartbeat[:end])
+
+
 def test_invalid_lines_are_rejected_with_a_reason():
     invalid = [
         b"",
